--- a/api.go
+++ b/api.go
@@ -10,9 +10,9 @@
 // Time is a reading of the embedder's monotonic clock. Its origin does not matter.
 type Time = time.Duration
 
-// StoreID names one server (its address). RequestID names one request.
+// ServerID identifies one server (its address). RequestID identifies one request.
 type (
-	StoreID   string
+	ServerID  string
 	RequestID string
 )
 
@@ -21,12 +21,12 @@
 
 // The effects.
 const (
-	Safe   Effect = iota // may be repeated at will
-	Keyed                // repeats are dropped for a while inside a scope
-	Unsafe               // must never run twice
+	Safe         Effect = iota // may be repeated at will
+	Deduplicated               // the servers of the scope drop repeats within the deduplication window
+	Unsafe                     // must never run twice
 )
 
-// Scope says which servers drop the repeats of a keyed request.
+// Scope says which servers drop the repeats of a deduplicated request.
 type Scope uint8
 
 // The scopes.
@@ -48,27 +48,27 @@
 	Write                       // the primary
 )
 
-// Behind says what a replica does with a read that it is too far behind for.
-type Behind uint8
+// LagPolicy says what a replica does with a read when its data is older than the read allows.
+type LagPolicy uint8
 
-// The ways.
+// The lag policies.
 const (
-	BehindAnswers Behind = iota // answers from old data: the router alone must prevent it
-	BehindRefuses               // turns it away untouched
-	BehindWaits                 // waits a while, then turns it away untouched
+	LagServesStale LagPolicy = iota // the replica answers from stale data, so the router has to prevent it
+	LagRejects                      // the replica rejects the read without running it
+	LagWaits                        // the replica waits up to LagWaitTime, then rejects the read without running it
 )
 
 // Class is the contract of one kind of request.
 type Class struct {
-	Aim       time.Duration // full worth within this
-	Deadline  time.Duration // the client's whole patience
-	Worth     float64
-	LateWorth float64 // part of Worth between Aim and Deadline
-	Effect    Effect
-	Scope     Scope
-	KeyWindow time.Duration // how long repeats are dropped, from the first send that may have run
-	Read      ReadKind
-	Bound     time.Duration // for ReadBounded
+	LatencyTarget  time.Duration // an answer within this time has the full value
+	Deadline       time.Duration // the client gives up after this time
+	Value          float64
+	LateFactor     float64 // part of Value that an answer between LatencyTarget and Deadline still has
+	Effect         Effect
+	Scope          Scope
+	DedupWindow    time.Duration // repeats are dropped for this long after the first send that may have run
+	Read           ReadKind
+	StalenessBound time.Duration // the greatest age of the data, for ReadBounded
 }
 
 // Tenant is a customer with a share; Allowance is in requests a second over all routers, 0 for no limit.
@@ -76,20 +76,20 @@
 
 // Settings is what a router is told when it starts.
 type Settings struct {
-	Siblings       int // routers in this tier, this one included
-	Zone           int
-	Tick           time.Duration
-	Classes        []Class
-	Tenants        []Tenant
-	OverShareWorth float64
-
-	AskList       bool // the server list must be subscribed to
-	Behind        Behind
-	BehindWait    time.Duration
-	KeptTokens    bool // the router itself must remember its sessions' commits
-	ListShowsRole bool
-	ListRoleLive  bool // the role in the list is updated, though late
-	SizesLive     bool // Entry.Size moves with load and tells nothing lasting
+	RouterCount     int // number of routers in this tier, including this one
+	Zone            int
+	Tick            time.Duration
+	Classes         []Class
+	Tenants         []Tenant
+	OverShareFactor float64 // part of its value that a request has when its tenant is over its allowance
+
+	SubscribeList    bool // the router has to subscribe to the server list
+	LagPolicy        LagPolicy
+	LagWaitTime      time.Duration // for LagWaits: how long a replica waits
+	TrackCommits     bool          // the router has to remember the last commit of each session
+	ListShowsRole    bool
+	ListRoleUpdates  bool // the role in the list is updated, with a delay
+	WeightTracksLoad bool // Entry.Weight changes with load, so it is not a measure of capacity
 
 	MayCancel     bool
 	MayDuplicate  bool
@@ -97,15 +97,15 @@
 	MaxRetryAfter time.Duration // longest wait that clients may be advised to keep, 0 for no advice
 	MaxAttempts   int
 
-	DrainGrace    time.Duration
-	DrainOnly     bool // only a server seen draining binds; one that vanished may still serve
-	FallMultiple  float64
-	FallSpan      time.Duration
-	ColdFrom      float64
-	ColdTime      time.Duration
-	PriceCross    float64 // part of a request's worth that an attempt into another zone costs
-	PriceProbe    float64 // part of a request's worth that a probe costs
-	ReportsOnSend bool    // answers carry load reports too
+	DrainGrace       time.Duration
+	SoftRemoval      bool          // a server missing from the list may still serve; only the state Draining forbids sends
+	OverloadMultiple float64       // a cold server must not be sent this multiple of its present capacity for OverloadTime, 0 for no limit
+	OverloadTime     time.Duration // how long a cold server withstands an overload, 0 for no limit
+	ColdCapacity     float64       // part of its capacity that a server has when it starts
+	ColdDuration     time.Duration // time from its start until a server has its full capacity
+	CrossZoneCost    float64       // cost of an attempt in another zone, as part of the request's value
+	ProbeCost        float64       // cost of a probe, as part of the request's value
+	ReportsInAnswers bool          // answers carry load reports as well
 }
 
 // Event is something the router is told.
@@ -113,15 +113,15 @@
 
 // Request is a client's request; the router now owes it exactly one final answer.
 type Request struct {
-	ID       RequestID
-	Class    int
-	Group    int
-	Tenant   int
-	Due      Time // the client gives this try up
-	Session  string
-	SinceOwn time.Duration // session reads: time since the session's last commit, 0 for none
-	Work     time.Duration // expected work on a standard core, 0 if unknown
-	Repeat   bool          // the client has asked before
+	ID          RequestID
+	Class       int
+	Group       int
+	Tenant      int
+	Deadline    Time // the client gives up this request at this time
+	Session     string
+	SinceCommit time.Duration // for session reads: time since the session's last commit, 0 for none
+	Work        time.Duration // expected work on a standard core, 0 if unknown
+	Retry       bool          // the client has sent this request before
 }
 
 // Result says how an attempt or probe ended.
@@ -131,18 +131,18 @@
 const (
 	OK          Result = iota
 	Failed             // the server answered with an error; it may have had an effect
-	Full               // turned away unseen
+	Overloaded         // rejected by the server before it was read: too much load
 	TimedOut           // no answer in time
 	Unreachable        // no connection: never sent
 	Reset              // the connection dropped with the attempt in flight
 	Cancelled          // called off by the router
 	Skipped            // never sent: the request was over
-	Missed             // turned away untouched: not the primary, or too far behind
+	Misdirected        // rejected without running: the server is not the primary, or its data is too old
 )
 
 // resultNames are the results' names in reasons and logs.
-var resultNames = [...]string{OK: "ok", Failed: "failed", Full: "full", TimedOut: "timedout", Unreachable: "unreachable",
-	Reset: "reset", Cancelled: "cancelled", Skipped: "skipped", Missed: "missed"}
+var resultNames = [...]string{OK: "ok", Failed: "failed", Overloaded: "full", TimedOut: "timedout", Unreachable: "unreachable",
+	Reset: "reset", Cancelled: "cancelled", Skipped: "skipped", Misdirected: "missed"}
 
 // String is the result's name.
 func (r Result) String() string {
@@ -162,35 +162,35 @@
 	RoleReplica
 )
 
-// Report is what a server told of itself. Position is a time on the router's clock up to which it has
-// applied every commit; HasPosition and HasHeld say which fields were told.
+// Report is what a server reported about itself. Position is a time on the router's clock up to which it has
+// applied every commit. HasPosition and HasInFlight say which fields were reported.
 type Report struct {
 	Role        Role
 	Position    Time
 	HasPosition bool
-	Held        float64 // requests in flight there, from everyone
-	HasHeld     bool
+	InFlight    float64 // requests in flight at the server, from all routers
+	HasInFlight bool
 }
 
 // Outcome ends an attempt. Final is set when the request is over.
 type Outcome struct {
-	ID      RequestID
-	Attempt int
-	Store   StoreID
-	Result  Result
-	Final   bool
-	Told    Report // the role and position at the answer itself
-	Load    Report // a load report that came along, some time old
+	ID         RequestID
+	Attempt    int
+	Server     ServerID
+	Result     Result
+	Final      bool
+	Report     Report // role and position at the time of the answer
+	LoadReport Report // load report that came with the answer, taken some time before it
 }
 
-// Expired tells that a request is over: its client has gone.
-type Expired struct{ ID RequestID }
+// Abandoned reports that a request is over because its client has gone.
+type Abandoned struct{ ID RequestID }
 
 // ProbeResult is the answer to a probe.
 type ProbeResult struct {
-	Store  StoreID
+	Server ServerID
 	Result Result
-	Load   Report
+	Report Report
 }
 
 // ListKind says what a List event holds.
@@ -204,26 +204,26 @@
 	ListFailed                   // a list call failed; the old list stands
 )
 
-// StoreState is a server's state in the list.
-type StoreState uint8
+// ServerState is a server's state in the list.
+type ServerState uint8
 
 // The states.
 const (
-	Serving StoreState = iota
+	Serving ServerState = iota
 	Draining
-	Gone
+	Removed
 )
 
 // Entry is a line of the server list.
 type Entry struct {
-	Store   StoreID
-	Group   int
-	Kind    int
-	Zone    int
-	Size    float64
-	State   StoreState
-	Started Time // when its process last started, 0 for long ago
-	Primary bool
+	Server    ServerID
+	Group     int
+	Kind      int
+	Zone      int
+	Weight    float64
+	State     ServerState
+	StartedAt Time // when its process last started, 0 for long ago
+	Primary   bool
 }
 
 // List is news of the servers.
@@ -237,7 +237,7 @@
 
 func (*Request) event()     {}
 func (*Outcome) event()     {}
-func (*Expired) event()     {}
+func (*Abandoned) event()   {}
 func (*ProbeResult) event() {}
 func (*List) event()        {}
 func (*Timer) event()       {}
@@ -247,11 +247,11 @@
 
 // The actions.
 const (
-	Send      ActionKind = iota // start the next attempt of ID at Store; Wait is its time-out, By the latest to send it
+	Send      ActionKind = iota // start the next attempt of ID at Server with time-out Wait, unless SendDeadline passes first
 	Cancel                      // stop waiting for attempt Attempt of ID
 	Refuse                      // final answer: trying again is harmless, best after Wait
 	Fail                        // final answer: nothing is promised
-	Probe                       // ask Store how it is
+	Probe                       // probe Server
 	SetTimer                    // send a Timer with Tag at At
 	Subscribe                   // subscribe to the server list
 	FetchList                   // ask for the whole list once
@@ -260,13 +260,13 @@
 
 // Action is something the router asks its embedder to do, in order.
 type Action struct {
-	Kind    ActionKind
-	ID      RequestID
-	Attempt int
-	Store   StoreID
-	Wait    time.Duration
-	At      Time
-	By      Time // one that has to wait for a connection for longer ends as Skipped
-	Tag     int64
-	Text    string // of a Log; of a Refuse or Fail: why
+	Kind         ActionKind
+	ID           RequestID
+	Attempt      int
+	Server       ServerID
+	Wait         time.Duration
+	At           Time
+	SendDeadline Time // an attempt that still waits for a connection at this time ends as Skipped
+	Tag          int64
+	Text         string // of a Log; of a Refuse or Fail: why
 }
--- a/cmd/beechgrade-sim/main.go
+++ b/cmd/beechgrade-sim/main.go
@@ -39,21 +39,21 @@
 			it := &batch.Items[i]
 			switch it.Kind {
 			case wire.Start:
-				routers[it.Front] = beechgrade.New(it.Settings, it.Seed)
+				routers[it.Instance] = beechgrade.New(it.Settings, it.Seed)
 			case wire.Stop:
-				delete(routers, it.Front)
+				delete(routers, it.Instance)
 			case wire.Deliver:
-				r := routers[it.Front]
+				r := routers[it.Instance]
 				if r == nil {
 					continue
 				}
 				var fault string
 				actions, fault = handle(r, batch.Now, it.Event, actions[:0])
 				if fault != "" {
-					reply.Fault(it.Front, fault)
+					reply.AddFault(it.Instance, fault)
 				}
 				for k := range actions {
-					reply.Add(it.Front, &actions[k])
+					reply.Add(it.Instance, &actions[k])
 				}
 			}
 		}
--- a/cmd/beechgrade/lifecycle.go
+++ b/cmd/beechgrade/lifecycle.go
@@ -27,7 +27,8 @@
 	if next <= p.state {
 		return
 	}
-	p.log.Info("state", "from", p.state, "to", next, "sessions", p.front.Sessions(), "open", p.core.Open(), "owes", p.front.Owes())
+	p.log.Info("state", "from", p.state, "to", next, "sessions", p.front.SessionCount(),
+		"open", p.core.OpenRequests(), "owes", p.front.HasPendingWork())
 	p.loop.Metrics().Add(metrics.States, next.String())
 	p.state = next
 }
@@ -56,13 +57,13 @@
 func (p *pooler) beginDrain() {
 	longest := 0.0
 	for _, c := range p.cfg.Settings.Classes {
-		longest = max(longest, clock.Millis(c.Deadline))
+		longest = max(longest, clock.Milliseconds(c.Deadline))
 	}
 	longest = min(longest, longestMs)
 	d := &drain{pooler: p, began: p.loop.Now()}
 	d.closeAt = d.began + longest + closeClientsMs
 	p.enter(draining)
-	p.core.EndAt(d.began + longest + lastAnswerMs)
+	p.core.SetLatestDeadline(d.began + longest + lastAnswerMs)
 	p.loop.At(d.closeAt, func() {
 		p.enter(closing)
 		p.front.Drain()
@@ -90,7 +91,7 @@
 // needed tells whether the process is needed: clients may still come or ask, or somebody is owed something.
 func (d *drain) needed(now float64) bool {
 	mayCome := now < d.began+minDrainMs
-	mayAsk := now < d.closeAt+drainPollMs && d.pooler.front.Sessions() > 0
+	mayAsk := now < d.closeAt+drainPollMs && d.pooler.front.SessionCount() > 0
 	return mayCome || mayAsk || d.pooler.busy()
 }
 
@@ -98,13 +99,15 @@
 func (d *drain) finish(now float64) {
 	p := d.pooler
 	p.enter(ended)
-	p.unanswered = p.front.Waiting()
-	p.core.Guard().End(p.unanswered)
+	p.unanswered = p.front.PendingRequests()
+	p.core.Guard().CheckShutdown(p.unanswered)
 	p.log.Info("drained", "ms", now-d.began, "unanswered", p.unanswered)
 	p.loop.Metrics().Log(p.log)
-	p.front.End()
-	p.loop.End()
+	p.front.CloseAll()
+	p.loop.Shutdown()
 }
 
 // busy tells whether anybody is owed anything, or may be: clients that could not be accepted yet may have asked.
-func (p *pooler) busy() bool { return p.core.Open() > 0 || p.front.Owes() || p.loop.Backlog() }
+func (p *pooler) busy() bool {
+	return p.core.OpenRequests() > 0 || p.front.HasPendingWork() || p.loop.AcceptPaused()
+}
--- a/cmd/beechgrade/main.go
+++ b/cmd/beechgrade/main.go
@@ -57,7 +57,7 @@
 						return err
 					}
 					fmt.Fprintf(c.Root().Writer, "%s: listens on %s, asks %s; %d classes, %d servers known, %d sockets, %d MB\n",
-						cfg.Name, cfg.Listen, cfg.Discovery, len(cfg.Classes), len(cfg.Known.Instances),
+						cfg.Name, cfg.Listen, cfg.Discovery, len(cfg.Classes), len(cfg.LastKnownList.Instances),
 						cfg.Limits.Sockets, cfg.Limits.MemoryMB)
 					return nil
 				},
--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -43,23 +43,24 @@
 
 func newPooler(cfg *config.Config, log *slog.Logger) *pooler {
 	p := &pooler{cfg: cfg, log: log, descriptors: descriptorLimit()}
-	p.loop = loop.New(clock.System(), log, func() loop.Handler { return p.front.Accept() }, p.start)
+	p.loop = loop.New(clock.System(), log, func() loop.Handler { return p.front.NewHandler() }, p.start)
 	p.core = core.New(p.loop, log, cfg)
 	sockets := func() int { return min(p.cfg.Limits.Sockets, p.descriptors) - reserved }
 	part := func(x float64) int { return int(x * float64(sockets())) }
 	memory := func() int { return p.cfg.Limits.MemoryMB << 20 }
 	p.pool = backend.New(p.loop, log, backend.Options{User: "backend", Database: "store",
-		Roles: [2]string{"primary", "replica"}, PositionName: "applied_ms", ReportFields: cfg.ReportFields, ConnectTimeoutMs: cfg.ConnectTimeoutMs,
-		IdleMs: cfg.IdleMs * idlePart, Memory: memory,
-		MaxConns: func() int { return min(part(poolMost), sockets()-p.front.Sessions()) }}, p.core)
+		Roles: [2]string{"primary", "replica"}, PositionParameter: "applied_ms",
+		ReportFields: cfg.ReportFields, ConnectTimeoutMs: cfg.ConnectTimeoutMs,
+		IdleTimeoutMs: cfg.IdleTimeoutMs * idlePart, MemoryBytes: memory,
+		MaxConns: func() int { return min(part(poolMost), sockets()-p.front.SessionCount()) }}, p.core)
 	spare := func() int {
-		return sockets() - p.front.Sessions() - max(part(poolLeast), p.pool.Conns())
+		return sockets() - p.front.SessionCount() - max(part(poolLeast), p.pool.ConnCount())
 	}
-	p.front = front.NewPostgres(p.loop, log, p.core, p.core.Guard(), front.Budget{Spare: spare,
-		Share:  func() int { return p.cfg.Limits.Sockets / askPart },
-		Free:   func() bool { return p.pool.Conns() > part(poolLeast) && p.pool.CloseOldest() },
-		Memory: memory, RetryMs: clock.Millis(cfg.Settings.MaxRetryAfter)})
-	p.loop.Exhausted = func() bool { return p.front.MakeRoom() || p.pool.CloseOldest() }
+	p.front = front.NewPostgres(p.loop, log, p.core, p.core.Guard(), front.Budget{SpareDescriptors: spare,
+		ActiveClientLimit:   func() int { return p.cfg.Limits.Sockets / askPart },
+		CloseIdleServerConn: func() bool { return p.pool.ConnCount() > part(poolLeast) && p.pool.CloseOldestIdle() },
+		MemoryBytes:         memory, MaxRetryAfterMs: clock.Milliseconds(cfg.Settings.MaxRetryAfter)})
+	p.loop.OnDescriptorsExhausted = func() bool { return p.front.FreeDescriptor() || p.pool.CloseOldestIdle() }
 	return p
 }
 
@@ -83,13 +84,13 @@
 
 // start runs on the loop before anything else.
 func (p *pooler) start() {
-	p.dir = discovery.New(p.loop, p.log, p.cfg.Discovery, p.cfg.Known.Generation, p.core)
+	p.dir = discovery.New(p.loop, p.log, p.cfg.Discovery, p.cfg.LastKnownList.Generation, p.core)
 	p.core.Start(p.pool, p.dir)
 	p.front.Start()
 	p.logCounters()
 	p.enter(serving)
-	p.log.Info("serving", "listen", p.loop.Addr(), "servers", len(p.cfg.Known.Instances),
-		"siblings", p.cfg.Settings.Siblings, "max_retry_after", p.cfg.Settings.MaxRetryAfter)
+	p.log.Info("serving", "listen", p.loop.Addr(), "servers", len(p.cfg.LastKnownList.Instances),
+		"siblings", p.cfg.Settings.RouterCount, "max_retry_after", p.cfg.Settings.MaxRetryAfter)
 }
 
 // run serves until a signal to stop comes and nothing is owed any more; one to reload changes the configuration.
@@ -119,6 +120,6 @@
 		p.log.Warn("cannot change while serving, needs a restart", "kept", kept)
 	}
 	limitMemory(p.cfg)
-	p.pool.SetTimes(p.cfg.ConnectTimeoutMs, p.cfg.IdleMs*idlePart)
-	p.dir.Move(p.cfg.Discovery)
+	p.pool.SetTimeouts(p.cfg.ConnectTimeoutMs, p.cfg.IdleTimeoutMs*idlePart)
+	p.dir.SetAddress(p.cfg.Discovery)
 }
--- a/cmd/beechgrade/reload.go
+++ b/cmd/beechgrade/reload.go
@@ -17,7 +17,7 @@
 func loadPatiently(load func() (*config.Config, error), most time.Duration, failed func(error)) (*config.Config, error) {
 	for tries, end := 0, time.Now().Add(most); ; tries++ {
 		cfg, err := load()
-		if err == nil || !config.Passing(err) || time.Now().After(end) {
+		if err == nil || !config.IsTransient(err) || time.Now().After(end) {
 			return cfg, err
 		}
 		if tries == 0 {
--- a/cmd/beechgrade/story_test.go
+++ b/cmd/beechgrade/story_test.go
@@ -60,7 +60,7 @@
 		case 0:
 			return types + "$" + says
 		case 'D':
-			v, _ := pgwire.Column(body)
+			v, _ := pgwire.ParseColumn(body)
 			says = " " + string(v)
 		case 'E':
 			says = " " + pgwire.ErrorCode(body)
@@ -114,14 +114,14 @@
 					return
 				}
 				_, _ = io.CopyN(io.Discard, p.in, int64(binary.BigEndian.Uint32(size[:]))-4)
-				p.send(pgwire.AppendWelcome(nil))
+				p.send(pgwire.AppendStartupReply(nil))
 				for {
 					typ, body := p.message()
 					if typ == 0 {
 						ch <- asked{p, "(gone)", n}
 						return
 					}
-					sql, _ := pgwire.Text(body)
+					sql, _ := pgwire.ParseText(body)
 					ch <- asked{p, sql, n}
 				}
 			}(n)
@@ -177,13 +177,13 @@
 	t.Cleanup(func() { dir.CloseClientConnections(); dir.Close() })
 	cfg := &config.Config{Name: "test", Listen: "127.0.0.1:0", Discovery: dir.Listener.Addr().String(),
 		Limits: config.Limits{MemoryMB: 192, Sockets: 1024}, Classes: []string{"read", "write"},
-		ConnectTimeoutMs: 5000, IdleMs: 30000,
-		Known: discovery.List{Generation: 4, Reset: true, Instances: []discovery.Instance{
+		ConnectTimeoutMs: 5000, IdleTimeoutMs: 30000,
+		LastKnownList: discovery.List{Generation: 4, Complete: true, Instances: []discovery.Instance{
 			{ID: "s-1", HostPort: server, Lifecycle: "up", Weight: 1, Role: "primary"}}},
-		Settings: beechgrade.Settings{Siblings: 1, Tick: 2 * time.Millisecond, AskList: true, ListShowsRole: true,
-			ListRoleLive: true, MayCancel: true, MayDuplicate: true, MaxAttempts: 8, Classes: []beechgrade.Class{
-				{Aim: patience, Deadline: patience, Worth: 1, Read: beechgrade.ReadAny},
-				{Aim: patience, Deadline: patience, Worth: 1, Read: beechgrade.Write, Effect: beechgrade.Unsafe}}}}
+		Settings: beechgrade.Settings{RouterCount: 1, Tick: 2 * time.Millisecond, SubscribeList: true, ListShowsRole: true,
+			ListRoleUpdates: true, MayCancel: true, MayDuplicate: true, MaxAttempts: 8, Classes: []beechgrade.Class{
+				{LatencyTarget: patience, Deadline: patience, Value: 1, Read: beechgrade.ReadAny},
+				{LatencyTarget: patience, Deadline: patience, Value: 1, Read: beechgrade.Write, Effect: beechgrade.Unsafe}}}}
 	for _, f := range change {
 		f(cfg)
 	}
@@ -191,7 +191,7 @@
 	first := *cfg
 	p.load = func() (*config.Config, error) { return load(first) }
 	ready, ended, sig, again := make(chan string, 1), make(chan error, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)
-	p.loop.Ready = func() { ready <- p.loop.Addr() }
+	p.loop.OnReady = func() { ready <- p.loop.Addr() }
 	go func() { ended <- p.run(sig, again) }()
 	t.Cleanup(func() {
 		select {
@@ -397,7 +397,7 @@
 func TestProbeFindsThePrimary(t *testing.T) {
 	addr, queries := server(t)
 	pooler, _, _ := start(t, addr, nil, func(c *config.Config) {
-		c.Known.Instances[0].Role, c.Settings.MayProbe = "replica", true
+		c.LastKnownList.Instances[0].Role, c.Settings.MayProbe = "replica", true
 	})
 	c := client(t, pooler)
 	c.send(query("1", "write", 9000))
@@ -626,7 +626,7 @@
 	addr, _ := server(t)
 	told := make(chan string, 9)
 	start(t, addr, func(_ http.ResponseWriter, r *http.Request) { told <- r.URL.String() },
-		func(c *config.Config) { c.Settings.AskList = false })
+		func(c *config.Config) { c.Settings.SubscribeList = false })
 	for range 2 {
 		select {
 		case got := <-told:
@@ -739,7 +739,7 @@
 func TestRefusalSaysWhenToComeBack(t *testing.T) {
 	addr, _ := server(t)
 	pooler, _, _ := start(t, addr, nil, func(c *config.Config) {
-		c.Known.Instances[0].Cell, c.Settings.MaxRetryAfter = 9, 1500*time.Millisecond
+		c.LastKnownList.Instances[0].Cell, c.Settings.MaxRetryAfter = 9, 1500*time.Millisecond
 	})
 	c := client(t, pooler)
 	c.send(query("1", "read", 400)) // nobody serves its group
--- a/example/toy/serve.go
+++ b/example/toy/serve.go
@@ -26,7 +26,7 @@
 // run serves one group of three small servers and a discovery that lists them, until it is ended.
 func run(listen string) error {
 	t := &table{rows: map[string][]byte{}}
-	list := discovery.List{Generation: 1, Reset: true}
+	list := discovery.List{Generation: 1, Complete: true}
 	for i, role := range []string{"primary", "replica", "replica"} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -101,7 +101,7 @@
 	if _, err := io.CopyN(io.Discard, c, int64(binary.BigEndian.Uint32(size[:]))-4); err != nil {
 		return err
 	}
-	if _, err := c.Write(pgwire.AppendWelcome(nil)); err != nil {
+	if _, err := c.Write(pgwire.AppendStartupReply(nil)); err != nil {
 		return err
 	}
 	in, buf := pgwire.NewReader(1<<18), make([]byte, 1<<14)
@@ -121,7 +121,7 @@
 		if m.Type != 'Q' {
 			return nil
 		}
-		sql, err := pgwire.Text(m.Body)
+		sql, err := pgwire.ParseText(m.Body)
 		if err != nil {
 			return err
 		}
--- a/health.go
+++ b/health.go
@@ -6,22 +6,22 @@
 )
 
 // wayTook notes the time of a probe or a failed connection, and tells whether the way may explain a failure.
-func (r *Router) wayTook(s *store, took Time) bool {
+func (r *Router) wayTook(s *server, took Time) bool {
 	passed := r.ways[s.entry.Zone].passed
-	if passed > r.now-took { // others got through and back meanwhile: it is the store
+	if passed > r.now-took { // others got through and back meanwhile: it is the server
 		return false
 	}
 	r.ways[s.entry.Zone] = way{(r.way(s) + took.Seconds()) / 2, r.now, passed}
 	return s.entry.Zone != r.set.Zone && took >= stall
 }
 
-// failing is the chance that a store answers a request with a failure: from its last answers, fading.
-func (r *Router) failing(s *store) float64 {
+// failing is the chance that a server answers a request with a failure: from its last answers, fading.
+func (r *Router) failing(s *server) float64 {
 	return s.fails * r.fading(s.failedAt, failMemory)
 }
 
-// alive notes an answer. One sent before the store was found bad does not show that it takes more.
-func (r *Router) alive(s *store, a *attempt) {
+// alive notes an answer. One sent before the server was found bad does not show that it takes more.
+func (r *Router) alive(s *server, a *attempt) {
 	w := r.ways[s.entry.Zone]
 	w.passed = max(w.passed, a.sent)
 	s.answered, r.ways[s.entry.Zone] = r.now, w
@@ -32,24 +32,24 @@
 	}
 }
 
-// well takes a store back. One that refused connections for a while probably restarted and is cold.
-func (r *Router) well(s *store) {
+// well takes a server back. One that refused connections for a while probably restarted and is cold.
+func (r *Router) well(s *server) {
 	if s.health == down && s.refusedSince != 0 && r.now-s.refusedSince >= outage {
 		s.coldFrom = max(s.coldFrom, r.now)
 	}
 	s.refusedSince, s.probeFails, s.health = 0, 0, healthy
 }
 
-func (r *Router) bad(s *store) {
+func (r *Router) bad(s *server) {
 	if s.health != down {
-		r.act(Action{Kind: Log, Text: "store " + string(s.id) + " down"})
+		r.act(Action{Kind: Log, Text: "server " + string(s.id) + " down"})
 	}
 	s.health, s.badAt = down, r.now
 }
 
-// refused notes a connection that was refused or broke. Healthy stores' break too: only a second one with no
-// answer between takes the store out. A probe asks meanwhile.
-func (r *Router) refused(s *store) {
+// refused notes a connection that was refused or broke. Healthy servers' break too: only a second one with no
+// answer between takes the server out. A probe asks meanwhile.
+func (r *Router) refused(s *server) {
 	if s.refusedSince != 0 || s.health != healthy {
 		r.bad(s)
 	}
@@ -58,11 +58,12 @@
 	}
 }
 
-// silent tells whether a store left requests unanswered for longer than chance explains. Probes do not count.
-func (r *Router) silent(s *store) bool {
+// silent tells whether a server left requests unanswered for longer than chance explains. Probes do not
+// count.
+func (r *Router) silent(s *server) bool {
 	first, n, longest := r.now, 0.0, r.work
 	for _, a := range s.open {
-		if a.passed == 0 && !a.lost { // one overtaken tells of itself, not of the store
+		if a.passed == 0 && !a.lost { // one overtaken tells of itself, not of the server
 			first, n, longest = min(first, a.sent), n+1, max(longest, a.req.work())
 		}
 	}
@@ -73,14 +74,14 @@
 }
 
 func (r *Router) onProbe(e *ProbeResult) {
-	s := r.stores[e.Store]
+	s := r.servers[e.Server]
 	if s == nil {
 		return
 	}
 	slow := s.probing && r.wayTook(s, r.now-s.probeAt)
 	s.probing = false
-	if e.Result == Full || e.Result == Failed || e.Result == Skipped || e.Result != OK && slow {
-		return // what tells nothing: it neither takes a store out nor back
+	if e.Result == Overloaded || e.Result == Failed || e.Result == Skipped || e.Result != OK && slow {
+		return // what tells nothing: it neither takes a server out nor back
 	}
 	if e.Result != OK {
 		s.probeFails++
@@ -92,7 +93,8 @@
 		return
 	}
 	s.probeFails = 0
-	r.learn(s, e.Load, e.Load.Position) // a primary stands at the present: its position is the report's time
+	// A primary's position is the present, so it is the time of the report.
+	r.learn(s, e.Report, e.Report.Position)
 	if s.health == down {
 		// Reached beside its queue: requests have to prove it. What it held may be gone and is no load.
 		r.well(s)
@@ -103,16 +105,16 @@
 	r.pump(s.group)
 }
 
-// probe asks a store how it is, unless it was asked within pause.
-func (r *Router) probe(s *store, pause time.Duration) {
+// probe asks a server how it is, unless it was asked within pause.
+func (r *Router) probe(s *server, pause time.Duration) {
 	if !r.set.MayProbe || s.probing || !s.listed() || s.probeAt != never && r.now-s.probeAt < pause {
 		return
 	}
 	s.probing, s.probeAt = true, r.now
-	r.act(Action{Kind: Probe, Store: s.id})
+	r.act(Action{Kind: Probe, Server: s.id})
 }
 
-// tend finds silent stores of a busy group, and probes those down, or all while a write waits for a primary.
+// tend finds silent servers of a busy group, and probes those down, or all while a write waits for a primary.
 func (r *Router) tend(g *group) {
 	p := r.primary(g)
 	seek := (p == nil || !p.usable()) && slices.ContainsFunc(g.held, (*request).primaryOnly)
@@ -133,12 +135,12 @@
 	}
 }
 
-// probePause is the time between probes of a store thought down.
-func probePause(s *store) Time { return probeDown << min(max(0, s.probeFails-probeSoon), probeMost) }
+// probePause is the time between probes of a server thought down.
+func probePause(s *server) Time { return probeDown << min(max(0, s.probeFails-probeSoon), probeMost) }
 
-// tryOut puts a store that is down on trial after a while, where no probe may ask whether it is well: only
+// tryOut puts a server that is down on trial after a while, where no probe may ask whether it is well: only
 // requests can tell then.
-func (r *Router) tryOut(s *store) {
+func (r *Router) tryOut(s *server) {
 	if r.now-s.badAt < probePause(s) {
 		return
 	}
@@ -150,7 +152,7 @@
 }
 
 // countLost counts an ended attempt towards the part that is lost. One called off early may have been slow.
-func (r *Router) countLost(s *store, a *attempt, res Result) {
+func (r *Router) countLost(s *server, a *attempt, res Result) {
 	lost := 0.0
 	switch {
 	case res == Unreachable || res == Skipped || res == Reset:
--- a/health_test.go
+++ b/health_test.go
@@ -11,34 +11,34 @@
 // for ever. After a pause it is on trial, and an answer makes it healthy.
 func TestDownServerIsTriedWithoutProbes(t *testing.T) {
 	set := testSettings()
-	set.MayProbe, set.ListShowsRole, set.ListRoleLive = false, true, true
-	g := newRig(t, set, Entry{Store: "p", Size: 1, Primary: true})
+	set.MayProbe, set.ListShowsRole, set.ListRoleUpdates = false, true, true
+	g := newRig(t, set, Entry{Server: "p", Weight: 1, Primary: true})
 	g.wantSend(g.ask("1", cUnsafe), "1", "p")
 	g.wantSend(g.end("1", 0, "p", Unreachable), "1", "p")
 	g.end("1", 1, "p", Unreachable)
-	if g.r.stores["p"].health != down {
-		t.Fatalf("after two broken connections the server is at %d", g.r.stores["p"].health)
+	if g.r.servers["p"].health != down {
+		t.Fatalf("after two broken connections the server is at %d", g.r.servers["p"].health)
 	}
 	g.wantSend(g.pass(2*probeDown), "1", "p")
 	g.wantNone(Probe, g.out)
 	g.end("1", 2, "p", OK)
-	if g.r.stores["p"].health != healthy {
-		t.Errorf("after an answer the server is at %d", g.r.stores["p"].health)
+	if g.r.servers["p"].health != healthy {
+		t.Errorf("after an answer the server is at %d", g.r.servers["p"].health)
 	}
 }
 
 // TestTrialsWithoutProbesGrowRarer: a server that stays out of reach is tried less and less often.
 func TestTrialsWithoutProbesGrowRarer(t *testing.T) {
 	set := testSettings()
-	set.MayProbe, set.ListShowsRole, set.ListRoleLive = false, true, true
-	g := newRig(t, set, Entry{Store: "p", Size: 1, Primary: true})
+	set.MayProbe, set.ListShowsRole, set.ListRoleUpdates = false, true, true
+	g := newRig(t, set, Entry{Server: "p", Weight: 1, Primary: true})
 	g.ask("1", cAny)
 	g.end("1", 0, "p", Unreachable)
 	g.end("1", 1, "p", Unreachable)
 	trials := 0
 	for no := 2; g.now < start+60*second; {
 		if len(finals(g.pass(probeDown/4))) > 0 || g.r.reqs["1"] == nil {
-			g.do(&Request{ID: "1", Class: cAny, Due: g.now + 30*second})
+			g.do(&Request{ID: "1", Class: cAny, Deadline: g.now + 30*second})
 			no = 0
 		}
 		for g.r.reqs["1"] != nil && g.r.reqs["1"].open > 0 {
--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -13,7 +13,7 @@
 func (c *conn) count() {
 	n := 0
 	if c.state == busy && c.attempt != nil {
-		n = c.in.Pending() + len(c.answer)
+		n = c.in.Buffered() + len(c.answer)
 	}
 	c.pool.held += n - c.held
 	c.held = n
@@ -22,14 +22,14 @@
 // watch bounds how long an answer that has begun may take to go on: connections fall silent in its midst.
 func (c *conn) watch() {
 	a, p := c.attempt, c.pool
-	if c.state != busy || a == nil || c.reading.Untouched() && c.in.Pending() == 0 {
+	if c.state != busy || a == nil || c.reading.Empty() && c.in.Buffered() == 0 {
 		return
 	}
 	left := float64(stallMs)
 	if a.once {
 		left = stallOnce
 	}
-	p.loop.Stop(c.timer)
+	p.loop.StopTimer(c.timer)
 	c.timer = p.loop.At(p.loop.Now()+left, func() {
 		p.log.Debug("an answer stopped short", "server", c.server.id)
 		p.drop(a, beechgrade.Failed)
@@ -63,7 +63,7 @@
 }
 
 func (c *conn) parameter(body []byte) {
-	name, val, err := pgwire.Parameter(body)
+	name, val, err := pgwire.ParseParameter(body)
 	if err != nil {
 		return
 	}
@@ -72,9 +72,9 @@
 		if c.outcome.Role == beechgrade.RoleUnknown {
 			c.outcome.Role = c.pool.role(val)
 		}
-	case c.pool.opt.PositionName:
-		if ms, err := strconv.ParseInt(val, 10, 64); err == nil && !c.outcome.HasPos && c.pool.position(clock.FromUnix(ms)) {
-			c.outcome.Position, c.outcome.HasPos = clock.FromUnix(ms), true
+	case c.pool.opt.PositionParameter:
+		if ms, err := strconv.ParseInt(val, 10, 64); err == nil && !c.outcome.HasPosition && c.pool.position(clock.FromUnix(ms)) {
+			c.outcome.Position, c.outcome.HasPosition = clock.FromUnix(ms), true
 		}
 	}
 }
@@ -121,15 +121,15 @@
 
 // result reads the outcome by what came before ReadyForQuery.
 func (c *conn) result() beechgrade.Result {
-	switch c.reading.Code {
+	switch c.reading.ErrorCode {
 	case "":
-		if c.reading.Served {
+		if c.reading.Succeeded {
 			return beechgrade.OK
 		}
 	case "25006", "72000":
-		return beechgrade.Missed
+		return beechgrade.Misdirected
 	case "53300", "57P03":
-		return beechgrade.Full
+		return beechgrade.Overloaded
 	}
 	return beechgrade.Failed
 }
@@ -138,7 +138,7 @@
 // the server is there; one that cannot be read, or lacks a field that it should have, tells nothing.
 func (p *Pool) report(row []byte) Outcome {
 	o := Outcome{Result: beechgrade.OK}
-	col, err := pgwire.Column(row)
+	col, err := pgwire.ParseColumn(row)
 	if err == nil && len(col) == 0 {
 		return o
 	}
@@ -147,14 +147,14 @@
 		switch {
 		case err != nil:
 		case name == "x0" && p.position(x*1000): // down to whole milliseconds, as a printed figure may have been rounded up
-			o.Position, o.HasPos = clock.FromUnix(int64(x*1000)), true
+			o.Position, o.HasPosition = clock.FromUnix(int64(x*1000)), true
 		case name == "x1" && x == 1:
 			o.Role = beechgrade.RolePrimary
 		case name == "x1" && x == 0:
 			o.Role = beechgrade.RoleReplica
 		}
 	}
-	if !o.HasPos && slices.Contains(p.opt.ReportFields, "x0") ||
+	if !o.HasPosition && slices.Contains(p.opt.ReportFields, "x0") ||
 		o.Role == beechgrade.RoleUnknown && slices.Contains(p.opt.ReportFields, "x1") {
 		return Outcome{Result: beechgrade.Failed}
 	}
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -8,26 +8,26 @@
 	"beechgrade/internal/slots"
 )
 
-// Tag says which attempt of which request an outcome is of.
-type Tag struct {
+// AttemptID identifies an attempt of a request.
+type AttemptID struct {
 	Request slots.Ref
-	No      int
+	Number  int
 }
 
 // Outcome is how an attempt or probe ended, with what its answer told.
 type Outcome struct {
-	Result   beechgrade.Result
-	Answer   []byte // OK: the row as messages, valid during the call
-	Role     beechgrade.Role
-	Position float64 // on the clock, where HasPosition
-	HasPos   bool
-	WaitedMs float64 // for a connection
+	Result      beechgrade.Result
+	Answer      []byte // OK: the row as messages, valid during the call
+	Role        beechgrade.Role
+	Position    float64 // on the clock, where HasPosition
+	HasPosition bool
+	WaitedMs    float64 // time that it waited for a connection, in milliseconds
 }
 
 // attempt is a request's attempt, or a probe where query is nil.
 type attempt struct {
 	ref     slots.Ref
-	tag     Tag
+	tag     AttemptID
 	id      string  // of the server
 	server  *server // nil if it is not known
 	query   Query
@@ -43,7 +43,7 @@
 
 // Start starts an attempt that ends by itself at until, and is not sent at by or later. One that must not run twice
 // is spared connections that would probably lose it.
-func (p *Pool) Start(id string, q Query, until, by float64, once bool, t Tag) slots.Ref {
+func (p *Pool) Start(id string, q Query, until, by float64, once bool, t AttemptID) slots.Ref {
 	a := &attempt{tag: t, id: id, query: q, until: until, by: by, began: p.loop.Now(), once: once, server: p.servers[id]}
 	a.ref = p.attempts.Put(a)
 	p.begin(a)
@@ -64,8 +64,8 @@
 	}
 }
 
-// Withdraw gives an attempt up that waits for a connection. One that has been sent stays out.
-func (p *Pool) Withdraw(ref slots.Ref) {
+// CancelUnsent cancels an attempt that still waits for a connection. One that has been sent stays in flight.
+func (p *Pool) CancelUnsent(ref slots.Ref) {
 	if a, ok := p.attempts.Get(ref); ok && a.conn == nil {
 		p.drop(a, beechgrade.Skipped)
 	}
@@ -89,7 +89,7 @@
 		c := s.idle[len(s.idle)-1]
 		// The server may have closed it, with the news still on its way through the loop: a request
 		// written now would end as a reset, and an unsafe one could not be tried again.
-		if !c.c.Quiet() {
+		if !c.c.NoPendingInput() {
 			c.c.Close(closeNotQuiet)
 			continue
 		}
@@ -109,7 +109,7 @@
 func (p *Pool) send(c *conn, a *attempt) bool {
 	tellMs, ok := 0, true
 	if a.query != nil {
-		tellMs, ok = p.events.MaySend(a.tag, a.until)
+		tellMs, ok = p.events.BeforeSend(a.tag, a.until)
 	}
 	if !ok {
 		p.drop(a, beechgrade.Skipped)
@@ -125,7 +125,7 @@
 // drop ends an attempt from this side.
 func (p *Pool) drop(a *attempt, r beechgrade.Result) {
 	c := a.conn
-	if c == nil && a.query != nil && r != beechgrade.Unreachable && r != beechgrade.Full {
+	if c == nil && a.query != nil && r != beechgrade.Unreachable && r != beechgrade.Overloaded {
 		r = beechgrade.Skipped // it was never written
 	}
 	if c != nil {
@@ -153,9 +153,9 @@
 	if _, ok := p.attempts.Get(a.ref); !ok {
 		return
 	}
-	p.attempts.Drop(a.ref)
-	p.loop.Stop(a.timer)
-	p.loop.Stop(a.connect)
+	p.attempts.Delete(a.ref)
+	p.loop.StopTimer(a.timer)
+	p.loop.StopTimer(a.connect)
 	if a.conn != nil && a.conn.attempt == a {
 		a.conn.attempt = nil
 	}
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -22,10 +22,10 @@
 
 type told chan Outcome
 
-func (c told) AttemptEnded(_ Tag, o Outcome)      { c <- o }
-func (c told) ProbeEnded(_ string, o Outcome)     { c <- o }
-func (told) MaySend(Tag, float64) (int, bool)     { return 1, true }
-func (told) AppendQuery(dst []byte, _ int) []byte { return pgwire.AppendQuery(dst, "query") }
+func (c told) AttemptEnded(_ AttemptID, o Outcome)     { c <- o }
+func (c told) ProbeEnded(_ string, o Outcome)          { c <- o }
+func (told) BeforeSend(AttemptID, float64) (int, bool) { return 1, true }
+func (told) AppendQuery(dst []byte, _ int) []byte      { return pgwire.AppendQuery(dst, "query") }
 
 type nobody struct{}
 
@@ -48,11 +48,11 @@
 	r.pool = New(r.loop, slog.New(slog.DiscardHandler), opt, events)
 	r.events, _ = events.(told)
 	ready, ended := make(chan struct{}), make(chan error, 1)
-	r.loop.Ready = func() { close(ready) }
+	r.loop.OnReady = func() { close(ready) }
 	go func() { ended <- r.loop.Run("127.0.0.1:0") }()
 	<-ready
 	t.Cleanup(func() {
-		r.loop.End()
+		r.loop.Shutdown()
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
@@ -94,7 +94,7 @@
 }
 
 func options() Options {
-	return Options{ConnectTimeoutMs: 20000, IdleMs: 20000, MaxConns: func() int { return 9 }, Memory: func() int { return 1 << 28 }}
+	return Options{ConnectTimeoutMs: 20000, IdleTimeoutMs: 20000, MaxConns: func() int { return 9 }, MemoryBytes: func() int { return 1 << 28 }}
 }
 
 func listen(t *testing.T) net.Listener {
@@ -135,7 +135,7 @@
 	open func() bool
 }
 
-func (l looker) AttemptEnded(_ Tag, o Outcome) {
+func (l looker) AttemptEnded(_ AttemptID, o Outcome) {
 	if l.open() {
 		o.Result = 99
 	}
@@ -147,7 +147,7 @@
 func TestGivenUpBeforeItIsTold(t *testing.T) {
 	events, server := make(told, 9), listen(t)
 	var r *rig
-	r = newRig(t, looker{events, func() bool { return r.pool.Conns() > 0 }}, options())
+	r = newRig(t, looker{events, func() bool { return r.pool.ConnCount() > 0 }}, options())
 	for name, giveUp := range map[string]func(ref slots.Ref, far net.Conn){
 		"called off": func(ref slots.Ref, _ net.Conn) { r.do(func() { r.pool.Cancel(ref) }) },
 		"timed out":  func(slots.Ref, net.Conn) { r.do(func() { r.clk.Ms += 9000 }) },
@@ -161,10 +161,10 @@
 		var ref slots.Ref
 		r.do(func() {
 			r.pool.SetAddress("s", server.Addr().String())
-			ref = r.pool.Start("s", events, r.clk.Ms+9000, math.Inf(1), false, Tag{})
+			ref = r.pool.Start("s", events, r.clk.Ms+9000, math.Inf(1), false, AttemptID{})
 		})
 		far := accept(t, server)
-		say(t, far, pgwire.AppendWelcome(nil))
+		say(t, far, pgwire.AppendStartupReply(nil))
 		if _, err := far.Read(make([]byte, 99)); err != nil { // the query
 			t.Fatal(err)
 		}
@@ -196,10 +196,10 @@
 			var ref slots.Ref
 			r.do(func() {
 				r.pool.SetAddress("s", server.Addr().String())
-				ref = r.pool.Start("s", large{}, r.clk.Ms+9000, math.Inf(1), true, Tag{})
+				ref = r.pool.Start("s", large{}, r.clk.Ms+9000, math.Inf(1), true, AttemptID{})
 			})
 			far := accept(t, server)
-			say(t, far, pgwire.AppendWelcome(nil))
+			say(t, far, pgwire.AppendStartupReply(nil))
 			var out *conn
 			r.until(func() bool { // it is written as far as it goes
 				out = r.pool.busyConn()
@@ -208,7 +208,7 @@
 			whole, read := len(large{}.AppendQuery(nil, 0)), 0
 			r.do(func() { // the loop stands here, so that it sends no more on its own
 				buf := make([]byte, 1<<20)
-				for read < whole-out.c.Unsent() {
+				for read < whole-out.c.UnsentBytes() {
 					n, err := far.Read(buf)
 					if read += n; err != nil {
 						t.Error(err)
@@ -219,7 +219,7 @@
 					ends(r.pool, ref, far)
 				} else {
 					_ = far.(*net.TCPConn).CloseWrite()
-					for out.c.Quiet() { // until the end is there to be read
+					for out.c.NoPendingInput() { // until the end is there to be read
 						runtime.Gosched()
 					}
 					out.c.Close("test")
@@ -251,7 +251,7 @@
 	r.do(func() {
 		r.pool.SetAddress("s", server.Addr().String())
 		for range 2 {
-			r.pool.Start("s", events, r.clk.Ms+9000, math.Inf(1), true, Tag{})
+			r.pool.Start("s", events, r.clk.Ms+9000, math.Inf(1), true, AttemptID{})
 		}
 	})
 	slow := []net.Conn{accept(t, server), accept(t, server)}
@@ -260,7 +260,7 @@
 		if o := r.next(); o.Result != beechgrade.Skipped {
 			t.Errorf("result %v", o.Result)
 		}
-		say(t, far, pgwire.AppendWelcome(nil))
+		say(t, far, pgwire.AppendStartupReply(nil))
 	}
 	r.until(func() bool { return len(r.pool.servers["s"].idle) == 2 })
 	r.do(func() { r.pool.Drain("s") })
@@ -285,8 +285,8 @@
 		r := newRig(t, events, options())
 		r.do(func() {
 			r.pool.SetAddress("s", server.Addr().String())
-			r.pool.Start("s", events, r.clk.Ms+9000, r.clk.Ms+100, true, Tag{})
-			r.pool.Start("s", events, r.clk.Ms+9000, math.Inf(1), true, Tag{No: 1})
+			r.pool.Start("s", events, r.clk.Ms+9000, r.clk.Ms+100, true, AttemptID{})
+			r.pool.Start("s", events, r.clk.Ms+9000, math.Inf(1), true, AttemptID{Number: 1})
 		})
 		slow := []net.Conn{accept(t, server), accept(t, server)}
 		if late == nil {
@@ -294,10 +294,10 @@
 		}
 		r.do(func() {
 			for _, far := range slow {
-				say(t, far, pgwire.AppendWelcome(nil))
+				say(t, far, pgwire.AppendStartupReply(nil))
 			}
 			r.pool.conns.Each(func(_ slots.Ref, c *conn) {
-				for c.c.Quiet() { // until it is there to be read
+				for c.c.NoPendingInput() { // until it is there to be read
 					runtime.Gosched()
 				}
 			})
@@ -331,21 +331,21 @@
 	l := loop.New(clk, slog.New(slog.DiscardHandler), func() loop.Handler { return nobody{} }, func() {})
 	p = New(l, slog.New(slog.DiscardHandler), Options{ConnectTimeoutMs: 250, MaxConns: func() int { return 0 }}, events)
 	ready := make(chan struct{})
-	l.Ready = func() { close(ready) }
+	l.OnReady = func() { close(ready) }
 	ended := make(chan error, 1)
 	go func() { ended <- l.Run("127.0.0.1:0") }()
 	<-ready
 	l.Post(func() {
 		p.SetAddress("s", "127.0.0.1:1")
-		p.Start("s", events, clk.Ms+9000, math.Inf(1), true, Tag{})
-		p.Cancel(p.Start("s", events, clk.Ms+9000, math.Inf(1), true, Tag{No: 1}))
+		p.Start("s", events, clk.Ms+9000, math.Inf(1), true, AttemptID{})
+		p.Cancel(p.Start("s", events, clk.Ms+9000, math.Inf(1), true, AttemptID{Number: 1}))
 	})
 	l.Post(func() { clk.Ms += 250 })
 	l.Post(func() {
 		p.SetAddress("t", "127.0.0.1:1")
-		p.Start("t", events, clk.Ms+9000, math.Inf(1), true, Tag{No: 2})
-		p.Retain(map[string]bool{"s": true}) // t has left the list
-		p.Forget("s")
+		p.Start("t", events, clk.Ms+9000, math.Inf(1), true, AttemptID{Number: 2})
+		p.RemoveExcept(map[string]bool{"s": true}) // t has left the list
+		p.Remove("s")
 		if len(p.servers) != 0 {
 			t.Errorf("kept of servers that left: %v", p.servers)
 		}
@@ -360,7 +360,7 @@
 			t.Fatal("not told")
 		}
 	}
-	l.End()
+	l.Shutdown()
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
@@ -372,8 +372,8 @@
 	unreadable := Outcome{Result: beechgrade.Failed}
 	for report, want := range map[string]Outcome{
 		"":                       {Result: beechgrade.OK}, // it has none yet
-		"x0=4.25,x1=1":           {Result: beechgrade.OK, Role: beechgrade.RolePrimary, Position: 4250, HasPos: true},
-		"x1=0, x0=5.0019,load=7": {Result: beechgrade.OK, Role: beechgrade.RoleReplica, Position: 5001, HasPos: true},
+		"x0=4.25,x1=1":           {Result: beechgrade.OK, Role: beechgrade.RolePrimary, Position: 4250, HasPosition: true},
+		"x1=0, x0=5.0019,load=7": {Result: beechgrade.OK, Role: beechgrade.RoleReplica, Position: 5001, HasPosition: true},
 		"x0=4.25":                unreadable,
 		"x1=1":                   unreadable,
 		"x0=nan,x1=1":            unreadable,
@@ -397,7 +397,7 @@
 func TestReportOfOtherFields(t *testing.T) {
 	p := &Pool{loop: loop.New(&clock.Manual{Ms: 5000}, nil, nil, nil), opt: Options{ReportFields: []string{"busy_reqs", "x0"}}}
 	for report, want := range map[string]Outcome{
-		"busy_reqs=7,x0=4.25": {Result: beechgrade.OK, Position: 4250, HasPos: true},
+		"busy_reqs=7,x0=4.25": {Result: beechgrade.OK, Position: 4250, HasPosition: true},
 		"busy_reqs=7":         {Result: beechgrade.Failed},
 	} {
 		row := append([]byte{0, 1, 0, 0, 0, byte(len(report))}, report...)
@@ -422,19 +422,19 @@
 	events := make(told, 9)
 	var p *Pool
 	l := loop.New(&clock.Manual{Ms: 1e6}, slog.New(slog.DiscardHandler), func() loop.Handler { return nobody{} }, func() {})
-	p = New(l, slog.New(slog.DiscardHandler), Options{ConnectTimeoutMs: 20000, IdleMs: 20000,
-		MaxConns: func() int { return 9 }, Memory: func() int { return 1 << 20 }}, events)
+	p = New(l, slog.New(slog.DiscardHandler), Options{ConnectTimeoutMs: 20000, IdleTimeoutMs: 20000,
+		MaxConns: func() int { return 9 }, MemoryBytes: func() int { return 1 << 20 }}, events)
 	ended := make(chan error, 1)
 	go func() { ended <- l.Run("127.0.0.1:0") }()
 	l.Post(func() {
 		p.SetAddress("s", server.Addr().String())
-		p.Start("s", events, l.Now()+20000, math.Inf(1), false, Tag{})
+		p.Start("s", events, l.Now()+20000, math.Inf(1), false, AttemptID{})
 	})
 	far, err := server.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, say := range [][]byte{pgwire.AppendWelcome(nil), pgwire.AppendRow(nil, "content", make([]byte, 512<<10))[:300<<10]} {
+	for _, say := range [][]byte{pgwire.AppendStartupReply(nil), pgwire.AppendRow(nil, "content", make([]byte, 512<<10))[:300<<10]} {
 		if _, err := far.Read(make([]byte, 999)); err != nil { // the startup message, then the query
 			t.Fatal(err)
 		}
@@ -455,7 +455,7 @@
 	if held := <-done; held != 0 {
 		t.Errorf("%d bytes still count as held", held)
 	}
-	l.End()
+	l.Shutdown()
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -63,8 +63,8 @@
 		return
 	}
 	c.state = closed
-	c.pool.loop.Stop(c.timer)
-	c.pool.conns.Drop(c.ref)
+	c.pool.loop.StopTimer(c.timer)
+	c.pool.conns.Delete(c.ref)
 	c.server.dialing--
 	if w := c.server.waiting; len(w) > c.server.dialing {
 		c.pool.drop(w[0], beechgrade.Unreachable)
@@ -76,8 +76,8 @@
 func (c *conn) shortOfResources() {
 	p, s := c.pool, c.server
 	c.state = closed
-	p.loop.Stop(c.timer)
-	p.conns.Drop(c.ref)
+	p.loop.StopTimer(c.timer)
+	p.conns.Delete(c.ref)
 	s.dialing--
 	if s.redial {
 		return
@@ -110,7 +110,7 @@
 		c.c.Close(closeMoved)
 		return
 	}
-	if c.in.Pending() > 0 || !c.c.Quiet() {
+	if c.in.Buffered() > 0 || !c.c.NoPendingInput() {
 		c.c.Close(closeNotQuiet)
 		return
 	}
@@ -129,18 +129,18 @@
 	p.idleSeq++
 	c.idleNo = p.idleSeq
 	c.server.idle = append(c.server.idle, c)
-	p.loop.Stop(c.timer)
-	c.timer = p.loop.At(p.loop.Now()+p.opt.IdleMs, func() { c.c.Close(closeIdle) })
+	p.loop.StopTimer(c.timer)
+	c.timer = p.loop.At(p.loop.Now()+p.opt.IdleTimeoutMs, func() { c.c.Close(closeIdle) })
 }
 
 // carry writes an attempt's query, which tells the server so much time.
 func (c *conn) carry(a *attempt, tellMs int) {
 	p := c.pool
 	c.unidle()
-	p.loop.Stop(c.timer)
-	p.loop.Stop(a.connect)
+	p.loop.StopTimer(c.timer)
+	p.loop.StopTimer(a.connect)
 	c.state, c.attempt, a.conn = busy, a, c
-	c.reading, c.answer, c.row, c.outcome = pgwire.Reply(), c.answer[:0], nil, Outcome{}
+	c.reading, c.answer, c.row, c.outcome = pgwire.NewQueryAnswer(), c.answer[:0], nil, Outcome{}
 	if a.query == nil {
 		p.scratch = pgwire.AppendQuery(p.scratch[:0], "SHOW load")
 	} else {
@@ -154,7 +154,7 @@
 		return
 	}
 	c.sent = true
-	if c.c.Unsent() > 0 && c.attempt == a {
+	if c.c.UnsentBytes() > 0 && c.attempt == a {
 		c.timer = p.loop.At(p.loop.Now()+wholeMs, func() { c.tooSlow(a) })
 	}
 }
@@ -163,10 +163,10 @@
 // without its last byte it does not run.
 func (c *conn) tooSlow(a *attempt) {
 	p := c.pool
-	if c.attempt != a || c.c.Unsent() == 0 {
+	if c.attempt != a || c.c.UnsentBytes() == 0 {
 		return
 	}
-	p.log.Info("a query is not taken whole", "server", c.server.id, "unsent", c.c.Unsent())
+	p.log.Info("a query is not taken whole", "server", c.server.id, "unsent", c.c.UnsentBytes())
 	c.attempt, a.conn = nil, nil
 	c.c.Close(closeUnsent)
 	p.end(a, Outcome{Result: beechgrade.Skipped})
@@ -202,7 +202,7 @@
 		c.message(m)
 	}
 	c.count()
-	if p := c.pool; c.attempt != nil && c.held > keepAnswer && p.held > p.opt.Memory()/heldPart {
+	if p := c.pool; c.attempt != nil && c.held > keepAnswer && p.held > p.opt.MemoryBytes()/heldPart {
 		p.log.Warn("no memory for an answer", "server", c.server.id, "bytes", c.held, "all", p.held)
 		p.drop(c.attempt, beechgrade.Failed)
 		return
@@ -213,7 +213,7 @@
 // Closed is loop's.
 func (c *conn) Closed(error) {
 	p := c.pool
-	was, unsent := c.state, c.c.Unsent()
+	was, unsent := c.state, c.c.UnsentBytes()
 	if was == closed {
 		return
 	}
@@ -221,15 +221,15 @@
 		c.refused()
 		return
 	}
-	c.c.Discard() // or the rest of a query that is told as never sent might still arrive
+	c.c.DiscardUnsent() // or the rest of a query that is told as never sent might still arrive
 	c.state = closed
 	c.count()
-	p.loop.Stop(c.timer)
-	p.conns.Drop(c.ref)
+	p.loop.StopTimer(c.timer)
+	p.conns.Delete(c.ref)
 	c.unidle()
 	if a := c.attempt; a != nil {
 		a.conn = nil
-		if c.reading.Untouched() && p.loop.Now()-c.written <= brokeMs {
+		if c.reading.Empty() && p.loop.Now()-c.written <= brokeMs {
 			p.wear.note(p.loop.Now(), c.rested, true)
 		}
 		r := beechgrade.Reset
@@ -237,20 +237,20 @@
 		if !c.sent || unsent > 0 { // its last byte never left: it cannot have run
 			r = beechgrade.Unreachable
 		}
-		if c.reading.Code == "53300" || c.reading.Code == "57P03" {
-			r = beechgrade.Full
+		if c.reading.ErrorCode == "53300" || c.reading.ErrorCode == "57P03" {
+			r = beechgrade.Overloaded
 		}
-		p.end(a, Outcome{Result: r, Role: c.outcome.Role, Position: c.outcome.Position, HasPos: c.outcome.HasPos})
+		p.end(a, Outcome{Result: r, Role: c.outcome.Role, Position: c.outcome.Position, HasPosition: c.outcome.HasPosition})
 	}
 	p.refill(c.server)
 }
 
 // refused ends a connection that broke while coming up. A server with too many turns away in words.
 func (c *conn) refused() {
-	if c.reading.Code == "53300" && len(c.server.waiting) >= c.server.dialing && len(c.server.waiting) > 0 {
+	if c.reading.ErrorCode == "53300" && len(c.server.waiting) >= c.server.dialing && len(c.server.waiting) > 0 {
 		a := c.server.waiting[0]
 		c.pool.unqueue(a)
-		defer c.pool.end(a, Outcome{Result: beechgrade.Full})
+		defer c.pool.end(a, Outcome{Result: beechgrade.Overloaded})
 	}
 	c.failed()
 }
--- a/internal/backend/held_up_test.go
+++ b/internal/backend/held_up_test.go
@@ -15,7 +15,7 @@
 	may bool
 }
 
-func (f forbidding) MaySend(Tag, float64) (int, bool) { return 1, f.may }
+func (f forbidding) BeforeSend(AttemptID, float64) (int, bool) { return 1, f.may }
 
 // TestAsksBeforeItSends: an attempt waits for its connection. Right before it is written the pool asks whether it still may be, as its
 // client may have gone meanwhile, and does not write it otherwise.
@@ -30,10 +30,10 @@
 			r.events = events.told
 			r.do(func() {
 				r.pool.SetAddress("s", server.Addr().String())
-				r.pool.Start("s", events, r.clk.Ms+9000, math.Inf(1), true, Tag{})
+				r.pool.Start("s", events, r.clk.Ms+9000, math.Inf(1), true, AttemptID{})
 			})
 			far := accept(t, server)
-			say(t, far, pgwire.AppendWelcome(nil))
+			say(t, far, pgwire.AppendStartupReply(nil))
 			if c.want == beechgrade.Failed { // it was sent: what comes back is no answer
 				r.until(func() bool { return r.pool.busyConn() != nil })
 				say(t, far, []byte("noise"))
@@ -52,11 +52,11 @@
 	r := newRig(t, events, options())
 	r.do(func() {
 		r.pool.SetAddress("s", server.Addr().String())
-		r.pool.Start("s", large{}, r.clk.Ms+9000, math.Inf(1), true, Tag{})
+		r.pool.Start("s", large{}, r.clk.Ms+9000, math.Inf(1), true, AttemptID{})
 	})
 	far := accept(t, server)
-	say(t, far, pgwire.AppendWelcome(nil))
-	r.until(func() bool { return r.pool.busyConn() != nil && r.pool.busyConn().c.Unsent() > 0 })
+	say(t, far, pgwire.AppendStartupReply(nil))
+	r.until(func() bool { return r.pool.busyConn() != nil && r.pool.busyConn().c.UnsentBytes() > 0 })
 	r.do(func() { r.clk.Ms += wholeMs - 1 })
 	if r.do(func() {}); len(events) > 0 {
 		t.Fatalf("ended early: %v", (<-events).Result)
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -19,22 +19,23 @@
 
 // Events is told of ends. The calls may come from within Start, Cancel and Probe.
 type Events interface {
-	AttemptEnded(t Tag, o Outcome)
+	AttemptEnded(t AttemptID, o Outcome)
 	ProbeEnded(server string, o Outcome)
-	// MaySend is asked right before an attempt is written that ends by itself at until. It says how much time the server is told.
-	MaySend(t Tag, until float64) (tellMs int, ok bool)
+	// BeforeSend is called right before an attempt that times out at until is written. It returns the time limit to send to
+	// the server, in milliseconds, and whether the attempt may be sent.
+	BeforeSend(t AttemptID, until float64) (tellMs int, ok bool)
 }
 
 // Options are the pool's limits.
 type Options struct {
-	User, Database   string
-	Roles            [2]string // names of the primary's and a replica's role
-	PositionName     string
-	ReportFields     []string // that a load report has
-	ConnectTimeoutMs float64
-	IdleMs           float64    // a connection idle for so long is closed
-	MaxConns         func() int // over all servers, by the descriptors left now
-	Memory           func() int // bytes the machine has
+	User, Database    string
+	Roles             [2]string // names of the primary's and a replica's role
+	PositionParameter string
+	ReportFields      []string // that a load report has
+	ConnectTimeoutMs  float64
+	IdleTimeoutMs     float64    // connections that are idle for this long are closed
+	MaxConns          func() int // over all servers, by the descriptors left now
+	MemoryBytes       func() int // of the machine, in bytes
 }
 
 const (
@@ -77,9 +78,9 @@
 		wear: newWear()}
 }
 
-// SetTimes sets the connect time-out and the idle time; what runs already keeps its own.
-func (p *Pool) SetTimes(connectMs, idleMs float64) {
-	p.opt.ConnectTimeoutMs, p.opt.IdleMs = connectMs, idleMs
+// SetTimeouts sets the connect time-out and the idle time-out. Timers that already run keep their time.
+func (p *Pool) SetTimeouts(connectMs, idleMs float64) {
+	p.opt.ConnectTimeoutMs, p.opt.IdleTimeoutMs = connectMs, idleMs
 }
 
 // SetAddress tells where a server listens. Connections to an address that it has left are closed, those in
@@ -118,8 +119,8 @@
 	}
 }
 
-// Forget gives up what is kept of a server that has left the list. What is in use there stays until it has ended.
-func (p *Pool) Forget(id string) {
+// Remove drops a server that has left the list. Its connections in use stay open until their attempts have ended.
+func (p *Pool) Remove(id string) {
 	s := p.servers[id]
 	if s == nil {
 		return
@@ -130,25 +131,25 @@
 	p.skipWaiting(s)
 }
 
-// Retain forgets all servers but those.
-func (p *Pool) Retain(ids map[string]bool) {
+// RemoveExcept removes all servers but the given ones.
+func (p *Pool) RemoveExcept(ids map[string]bool) {
 	for id := range p.servers {
 		if !ids[id] {
-			p.Forget(id)
+			p.Remove(id)
 		}
 	}
 }
 
-// Conns is the number of connections, those on their way up included.
-func (p *Pool) Conns() int { return p.conns.Len() }
+// ConnCount returns the number of connections, including those that are being opened.
+func (p *Pool) ConnCount() int { return p.conns.Len() }
 
 // dial opens one more connection, if the budget allows it; else those that wait take what comes free.
 func (p *Pool) dial(s *server) {
-	if p.conns.Len() >= p.opt.MaxConns() && !p.CloseOldest() {
+	if p.conns.Len() >= p.opt.MaxConns() && !p.CloseOldestIdle() {
 		p.log.Debug("no descriptor left for a connection", "server", s.id, "conns", p.conns.Len())
 		return
 	}
-	c := &conn{pool: p, server: s, addr: s.addr, in: pgwire.NewReader(pgwire.MaxMessage), reading: pgwire.Welcome()}
+	c := &conn{pool: p, server: s, addr: s.addr, in: pgwire.NewReader(pgwire.MaxMessage), reading: pgwire.NewStartupAnswer()}
 	c.ref = p.conns.Put(c)
 	s.dialing++
 	c.timer = p.loop.At(p.loop.Now()+p.opt.ConnectTimeoutMs, func() {
@@ -171,8 +172,8 @@
 	})
 }
 
-// CloseOldest closes the connection that has been idle longest, and tells whether there was one.
-func (p *Pool) CloseOldest() bool {
+// CloseOldestIdle closes the connection that has been idle longest and reports whether there was one.
+func (p *Pool) CloseOldestIdle() bool {
 	var oldest *conn
 	p.conns.Each(func(_ slots.Ref, c *conn) {
 		if c.state == idle && (oldest == nil || c.idleNo < oldest.idleNo) {
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -35,14 +35,14 @@
 // FromUnix maps Unix milliseconds, as the wire has them, onto the clock's scale.
 func FromUnix(ms int64) float64 { return float64(ms) }
 
-// Span converts milliseconds to the decision module's unit, exactly to the nanosecond for whole
-// milliseconds: a position and the commit it must reach compare equal only then.
-func Span(ms float64) time.Duration {
+// Duration converts milliseconds to a time.Duration. Whole milliseconds convert exactly to the nanosecond: otherwise a
+// position and the commit that it has to reach would not compare equal.
+func Duration(ms float64) time.Duration {
 	whole, part := math.Modf(ms)
 	return time.Duration(whole)*time.Millisecond + time.Duration(part*float64(time.Millisecond))
 }
 
-// Millis converts the decision module's unit to milliseconds.
-func Millis(d time.Duration) float64 {
+// Milliseconds converts a time.Duration to milliseconds.
+func Milliseconds(d time.Duration) float64 {
 	return float64(d/time.Millisecond) + float64(d%time.Millisecond)/float64(time.Millisecond)
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -9,10 +9,10 @@
 // move by a nanosecond on its way to the decision module.
 func TestWholeMillisecondsAreExact(t *testing.T) {
 	for _, ms := range []int64{1, 999, 1767225600123, 1767225600124} {
-		if got := Span(FromUnix(ms)); got != time.Duration(ms)*time.Millisecond {
+		if got := Duration(FromUnix(ms)); got != time.Duration(ms)*time.Millisecond {
 			t.Errorf("%d ms became %d ns", ms, got)
 		}
-		if got := Millis(Span(FromUnix(ms))); got != float64(ms) {
+		if got := Milliseconds(Duration(FromUnix(ms))); got != float64(ms) {
 			t.Errorf("%d ms came back as %v", ms, got)
 		}
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -30,18 +30,18 @@
 
 // Config is what a pooler is told.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Seed      uint64
-	Limits    Limits
-	Known     discovery.List
-	Settings  beechgrade.Settings
+	Name          string
+	Listen        string
+	Discovery     string
+	Seed          uint64
+	Limits        Limits
+	LastKnownList discovery.List
+	Settings      beechgrade.Settings
 
 	Classes, Zones, Kinds []string // names, by the module's numbers
 	ReportFields          []string // that servers' load reports have
 	ConnectTimeoutMs      float64
-	IdleMs                float64 // servers close a connection idle for so long
+	IdleTimeoutMs         float64 // servers close connections that are idle for this long
 }
 
 type file struct {
@@ -67,9 +67,9 @@
 // errNotWhole says that the file is no JSON: it may be only half written.
 var errNotWhole = errors.New("not a whole JSON object")
 
-// Passing tells whether a configuration that could not be read may be readable soon: a system call has failed, or the file is only
-// half written.
-func Passing(err error) bool {
+// IsTransient reports whether a configuration that could not be read may be readable soon: a system call has failed, or the
+// file is only half written.
+func IsTransient(err error) bool {
 	var no syscall.Errno
 	return errors.As(err, &no) || errors.Is(err, errNotWhole)
 }
@@ -122,7 +122,7 @@
 	set("discovery", c.Discovery != next.Discovery, func() { c.Discovery = next.Discovery })
 	set("limits", c.Limits != next.Limits, func() { c.Limits = next.Limits })
 	set("connect_timeout_ns", c.ConnectTimeoutMs != next.ConnectTimeoutMs, func() { c.ConnectTimeoutMs = next.ConnectTimeoutMs })
-	set("idle_close_ns", c.IdleMs != next.IdleMs, func() { c.IdleMs = next.IdleMs })
+	set("idle_close_ns", c.IdleTimeoutMs != next.IdleTimeoutMs, func() { c.IdleTimeoutMs = next.IdleTimeoutMs })
 	set("name", c.Name != next.Name, nil)
 	set("listen", c.Listen != next.Listen, nil)
 	set("settings", !reflect.DeepEqual(c.Settings, next.Settings), nil)
@@ -137,7 +137,7 @@
 	if err := dec.Decode(&f); err != nil {
 		return nil, fmt.Errorf("%w: %w", errNotWhole, err)
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Limits: f.Limits, Known: f.Known}
+	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Limits: f.Limits, LastKnownList: f.Known}
 	for name, at := range map[string]*string{"EDGE_NAME": &c.Name, "EDGE_LISTEN": &c.Listen, "EDGE_DISCOVERY": &c.Discovery} {
 		if v := env(name); v != "" && !(again && at == &c.Discovery && c.Discovery != "") {
 			*at = v
@@ -184,7 +184,7 @@
 	if c.ConnectTimeoutMs, err = millis(pairs, "allowed.connect_timeout_ns", defaultConnect); err != nil {
 		return err
 	}
-	c.IdleMs, err = millis(pairs, "allowed.idle_close_ns", defaultIdle)
+	c.IdleTimeoutMs, err = millis(pairs, "allowed.idle_close_ns", defaultIdle)
 	return err
 }
 
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -30,11 +30,11 @@
 type Servers interface {
 	SetAddress(id, addr string)
 	Drain(id string)
-	Forget(id string)
-	Retain(ids map[string]bool)
-	Start(id string, q backend.Query, until, by float64, once bool, t backend.Tag) slots.Ref
+	Remove(id string)
+	RemoveExcept(ids map[string]bool)
+	Start(id string, q backend.Query, until, by float64, once bool, t backend.AttemptID) slots.Ref
 	Cancel(attempt slots.Ref)
-	Withdraw(attempt slots.Ref)
+	CancelUnsent(attempt slots.Ref)
 	Probe(id string)
 }
 
@@ -76,7 +76,8 @@
 // New makes the core of one pooler.
 func New(l *loop.Loop, log *slog.Logger, cfg *config.Config) *Core {
 	c := &Core{loop: l, log: log, cfg: cfg, router: beechgrade.New(cfg.Settings, cfg.Seed),
-		guard: invariant.New(log, l.Metrics()), classes: map[string]int{}, ids: map[string]bool{}, zones: newNames(cfg.Zones), kinds: newNames(cfg.Kinds)}
+		guard: invariant.New(log, l.Metrics()), classes: map[string]int{}, ids: map[string]bool{},
+		zones: newNames(cfg.Zones), kinds: newNames(cfg.Kinds)}
 	for i, n := range cfg.Classes {
 		c.classes[n] = i
 	}
@@ -87,55 +88,55 @@
 // pushed needs an open watch as much as one that is asked for, only that the router does not ask for it at the start.
 func (c *Core) Start(s Servers, d Directory) {
 	c.servers, c.dir = s, d
-	c.list(&c.cfg.Known, beechgrade.ListRestored)
-	if !c.cfg.Settings.AskList {
+	c.list(&c.cfg.LastKnownList, beechgrade.ListRestored)
+	if !c.cfg.Settings.SubscribeList {
 		c.dir.Watch()
 	}
 }
 
-// Open is the number of requests that are owed an answer or have attempts out.
-func (c *Core) Open() int { return c.requests.Len() }
+// OpenRequests returns the number of requests that have no final answer yet or have attempts in flight.
+func (c *Core) OpenRequests() int { return c.requests.Len() }
 
 // Guard checks what this pooler does.
 func (c *Core) Guard() *invariant.Guard { return c.guard }
 
-// EndAt has the requests that come from now on answered by then.
-func (c *Core) EndAt(ms float64) { c.end = ms }
+// SetLatestDeadline limits the deadline of each request that arrives from now on to ms on the loop's clock.
+func (c *Core) SetLatestDeadline(ms float64) { c.end = ms }
 
-// Ask is front.Desk's.
-func (c *Core) Ask(q front.Request, client front.Client) (slots.Ref, error) {
+// Submit implements front.RequestHandler.
+func (c *Core) Submit(q front.Request, client front.Client) (slots.Ref, error) {
 	class, ok := c.classes[q.Class]
 	if !ok {
 		return slots.Ref{}, fmt.Errorf("class %q: %w", q.Class, ErrClass)
 	}
-	if q.Writes && c.cfg.Settings.Classes[class].Read != beechgrade.Write { // a read may be repeated
+	if q.IsWrite && c.cfg.Settings.Classes[class].Read != beechgrade.Write { // a read may be repeated
 		return slots.Ref{}, fmt.Errorf("class %q: %w", q.Class, ErrWrite)
 	}
 	if c.ids[q.ID] {
 		return slots.Ref{}, fmt.Errorf("id %q: %w", q.ID, ErrOpen)
 	}
-	if !c.guard.Take(q.ID) {
+	if !c.guard.CheckAccept(q.ID) {
 		return slots.Ref{}, ErrEnded
 	}
 	c.ids[q.ID] = true
 	if c.end > 0 {
-		q.Due = min(q.Due, c.end)
+		q.Deadline = min(q.Deadline, c.end)
 	}
-	now := clock.Span(c.loop.Now())
+	now := clock.Duration(c.loop.Now())
 	ref := c.requests.Put(&request{id: q.ID, once: c.cfg.Settings.Classes[class].Effect != beechgrade.Safe, client: client,
-		query: q.Query, due: q.Due, class: class, group: q.Group, arrived: clock.Millis(now), repeat: q.Repeat})
-	e := &beechgrade.Request{ID: requestID(ref), Class: class, Group: q.Group, Due: clock.Span(q.Due),
-		Session: q.Session, Repeat: q.Repeat}
-	if q.After > 0 {
+		query: q.Query, due: q.Deadline, class: class, group: q.Group, arrived: clock.Milliseconds(now), repeat: q.Retry})
+	e := &beechgrade.Request{ID: requestID(ref), Class: class, Group: q.Group, Deadline: clock.Duration(q.Deadline),
+		Session: q.Session, Retry: q.Retry}
+	if q.MinPosition > 0 {
 		// A commit is rounded up and so may lie ahead of the clock; 0 would stand for none.
-		e.SinceOwn = max(1, now-clock.Span(q.After))
+		e.SinceCommit = max(1, now-clock.Duration(q.MinPosition))
 	}
 	c.tellAt(now, e)
 	return ref, nil
 }
 
-// Gone is front.Desk's.
-func (c *Core) Gone(ref slots.Ref, why string) {
+// Abandon implements front.RequestHandler.
+func (c *Core) Abandon(ref slots.Ref, why string) {
 	q, ok := c.requests.Get(ref)
 	if !ok || q.over {
 		return
@@ -143,40 +144,40 @@
 	q.over, q.why = true, why
 	c.trace(q, "gone")
 	c.release(ref, q)
-	c.tell(&beechgrade.Expired{ID: requestID(ref)})
+	c.tell(&beechgrade.Abandoned{ID: requestID(ref)})
 }
 
 // AttemptEnded is backend.Events'.
-func (c *Core) AttemptEnded(t backend.Tag, o backend.Outcome) {
+func (c *Core) AttemptEnded(t backend.AttemptID, o backend.Outcome) {
 	q, ok := c.requests.Get(t.Request)
 	if !ok {
 		return
 	}
 	q.open--
-	y := &q.tries[t.No]
+	y := &q.tries[t.Number]
 	y.ended, y.waited, y.result = c.loop.Now(), o.WaitedMs, o.Result
 	c.loop.Metrics().Add(metrics.Attempts, o.Result.String())
 	if y.sent > 0 && mayHaveRun(o.Result) && (q.ranAt == 0 || y.sent < q.ranAt) {
 		q.ranAt = y.sent
 	}
-	if o.Result == beechgrade.OK && !q.over && c.guard.Answer(q.id, q.answered) {
+	if o.Result == beechgrade.OK && !q.over && c.guard.CheckAnswer(q.id, q.answered) {
 		q.over, q.answered = true, true
 		q.client.Served(o.Answer)
 		c.trace(q, "served")
 	}
 	final := q.over
 	c.release(t.Request, q)
-	c.tell(&beechgrade.Outcome{ID: requestID(t.Request), Attempt: t.No, Store: y.store, Result: o.Result,
-		Final: final, Told: told(o)})
+	c.tell(&beechgrade.Outcome{ID: requestID(t.Request), Attempt: t.Number, Server: y.server, Result: o.Result,
+		Final: final, Report: told(o)})
 }
 
 // ProbeEnded is backend.Events'.
-func (c *Core) ProbeEnded(store string, o backend.Outcome) {
-	c.tell(&beechgrade.ProbeResult{Store: beechgrade.StoreID(store), Result: o.Result, Load: told(o)})
+func (c *Core) ProbeEnded(server string, o backend.Outcome) {
+	c.tell(&beechgrade.ProbeResult{Server: beechgrade.ServerID(server), Result: o.Result, Report: told(o)})
 }
 
 // tell tells the router of what happens now.
-func (c *Core) tell(e beechgrade.Event) { c.tellAt(clock.Span(c.loop.Now()), e) }
+func (c *Core) tell(e beechgrade.Event) { c.tellAt(clock.Duration(c.loop.Now()), e) }
 
 // tellAt queues an event and, unless an action of an earlier one is being carried out, works the queue
 // off: what an action leads to at once is told after that event's actions.
@@ -208,7 +209,7 @@
 	case beechgrade.Refuse:
 		if q := c.conclude(a); q != nil {
 			c.trace(q, "refused")
-			q.client.Refused(clock.Millis(a.Wait))
+			q.client.Refused(clock.Milliseconds(a.Wait))
 		}
 	case beechgrade.Fail:
 		if q := c.conclude(a); q != nil {
@@ -216,10 +217,10 @@
 			q.client.Failed()
 		}
 	case beechgrade.Probe:
-		c.servers.Probe(string(a.Store))
+		c.servers.Probe(string(a.Server))
 	case beechgrade.SetTimer:
 		tag := a.Tag
-		c.loop.At(clock.Millis(a.At), func() { c.tell(&beechgrade.Timer{Tag: tag}) })
+		c.loop.At(clock.Milliseconds(a.At), func() { c.tell(&beechgrade.Timer{Tag: tag}) })
 	case beechgrade.Subscribe:
 		c.dir.Watch()
 	case beechgrade.FetchList:
@@ -230,9 +231,9 @@
 }
 
 func told(o backend.Outcome) beechgrade.Report {
-	r := beechgrade.Report{Role: o.Role, HasPosition: o.HasPos}
-	if o.HasPos {
-		r.Position = clock.Span(o.Position)
+	r := beechgrade.Report{Role: o.Role, HasPosition: o.HasPosition}
+	if o.HasPosition {
+		r.Position = clock.Duration(o.Position)
 	}
 	return r
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -34,7 +34,7 @@
 
 func (a answers) Served(b []byte) { a <- "served" }
 func (a answers) Refused(float64) { a <- "refused" }
-func (a answers) Here() bool      { return true }
+func (a answers) Connected() bool { return true }
 func (a answers) Failed()         { a <- "failed" }
 func (a answers) AppendQuery(dst []byte, _ int) []byte {
 	return pgwire.AppendQuery(dst, "query")
@@ -59,25 +59,25 @@
 	log := slog.New(slog.DiscardHandler)
 	r := &rig{t: t, clk: &clock.Manual{Ms: 1e6}, server: server}
 	cfg := &config.Config{Classes: []string{"read", "write"},
-		Known: discovery.List{Generation: 4, Reset: true, Instances: []discovery.Instance{
+		LastKnownList: discovery.List{Generation: 4, Complete: true, Instances: []discovery.Instance{
 			{ID: "s-1", HostPort: server.Addr().String(), Lifecycle: "up", Weight: 1, Role: "primary"}}},
-		Settings: beechgrade.Settings{Siblings: 1, Tick: 2 * time.Millisecond, ListShowsRole: true, ListRoleLive: true,
+		Settings: beechgrade.Settings{RouterCount: 1, Tick: 2 * time.Millisecond, ListShowsRole: true, ListRoleUpdates: true,
 			MaxAttempts: 8, Classes: []beechgrade.Class{
-				{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Read: beechgrade.ReadAny},
-				{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Read: beechgrade.Write, Effect: beechgrade.Unsafe}}}}
+				{LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1, Read: beechgrade.ReadAny},
+				{LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1, Read: beechgrade.Write, Effect: beechgrade.Unsafe}}}}
 	if change != nil {
 		change(cfg)
 	}
 	ready, ended := make(chan struct{}), make(chan error, 1)
 	r.loop = loop.New(r.clk, log, func() loop.Handler { return nobody{} }, func() { r.core.Start(r.pool, noDirectory{}) })
 	r.core = New(r.loop, log, cfg)
-	r.pool = backend.New(r.loop, log, backend.Options{ConnectTimeoutMs: 20000, IdleMs: 20000, MaxConns: func() int { return 9 },
-		Memory: func() int { return 1 << 28 }}, r.core)
-	r.loop.Ready = func() { close(ready) }
+	r.pool = backend.New(r.loop, log, backend.Options{ConnectTimeoutMs: 20000, IdleTimeoutMs: 20000, MaxConns: func() int { return 9 },
+		MemoryBytes: func() int { return 1 << 28 }}, r.core)
+	r.loop.OnReady = func() { close(ready) }
 	go func() { ended <- r.loop.Run("127.0.0.1:0") }()
 	<-ready
 	t.Cleanup(func() {
-		r.loop.End()
+		r.loop.Shutdown()
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
@@ -117,14 +117,14 @@
 		told := make(answers, 9)
 		r.do(func() {
 			now := r.clk.Ms
-			ref, err := r.core.Ask(front.Request{ID: "1", Class: "write", Due: now + 2000, Query: told}, told)
+			ref, err := r.core.Submit(front.Request{ID: "1", Class: "write", Deadline: now + 2000, Query: told}, told)
 			if err != nil {
 				t.Error(err)
 			}
-			if _, err := r.core.Ask(front.Request{ID: "2", Class: "read", Due: now + 500, Query: told}, told); err != nil {
+			if _, err := r.core.Submit(front.Request{ID: "2", Class: "read", Deadline: now + 500, Query: told}, told); err != nil {
 				t.Error(err)
 			}
-			r.core.Gone(ref, "peer")
+			r.core.Abandon(ref, "peer")
 		})
 		slow := []net.Conn{r.accept(), r.accept()}
 		r.do(func() { r.clk.Ms += 500 })
@@ -137,12 +137,12 @@
 			t.Fatal("the second has no answer")
 		}
 		r.do(func() {
-			if n := r.core.Open(); n != 0 || len(r.core.ids) != 0 {
+			if n := r.core.OpenRequests(); n != 0 || len(r.core.ids) != 0 {
 				t.Errorf("may call off %v: %d requests and %d ids are left", may, n, len(r.core.ids))
 			}
 		})
 		for _, far := range slow {
-			if _, err := far.Write(pgwire.AppendWelcome(nil)); err != nil {
+			if _, err := far.Write(pgwire.AppendStartupReply(nil)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -150,7 +150,7 @@
 		for conns := 2; conns > 0 && time.Now().Before(end); { // those that have come up are closed here
 			r.do(func() {
 				r.pool.Drain("s-1")
-				conns = r.pool.Conns()
+				conns = r.pool.ConnCount()
 			})
 		}
 		for _, far := range slow {
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -6,10 +6,10 @@
 	"beechgrade/internal/discovery"
 )
 
-// Listed is discovery.Events'.
-func (c *Core) Listed(l *discovery.List) {
+// ListReceived implements discovery.Events.
+func (c *Core) ListReceived(l *discovery.List) {
 	kind := beechgrade.ListChanges
-	if l.Reset {
+	if l.Complete {
 		kind = beechgrade.ListFull
 	}
 	c.list(l, kind)
@@ -26,16 +26,16 @@
 		if n.ID == "" {
 			continue
 		}
-		entry := beechgrade.Entry{Store: beechgrade.StoreID(n.ID), Group: n.Cell, Kind: c.kinds.number(n.MachineType),
-			Zone: c.zones.number(n.Zone), Size: n.Weight, Primary: n.Role == "primary"}
+		entry := beechgrade.Entry{Server: beechgrade.ServerID(n.ID), Group: n.Cell, Kind: c.kinds.number(n.MachineType),
+			Zone: c.zones.number(n.Zone), Weight: n.Weight, Primary: n.Role == "primary"}
 		if n.StartedAtMs > 0 {
-			entry.Started = clock.Span(min(clock.FromUnix(n.StartedAtMs), now)) // one that lies ahead would be cold for ever
+			entry.StartedAt = clock.Duration(min(clock.FromUnix(n.StartedAtMs), now)) // one that lies ahead would be cold for ever
 		}
 		switch n.Lifecycle {
 		case "draining":
 			entry.State = beechgrade.Draining
 		case "removed":
-			entry.State = beechgrade.Gone
+			entry.State = beechgrade.Removed
 		}
 		named[n.ID] = true
 		if n.HostPort != "" {
@@ -46,15 +46,15 @@
 	c.log.Debug("list", "kind", kind, "generation", l.Generation, "entries", len(e.Entries))
 	c.tell(e)
 	for i := range e.Entries { // what has been sent there stays until it has ended
-		switch id := string(e.Entries[i].Store); {
-		case e.Entries[i].State == beechgrade.Gone && !c.cfg.Settings.DrainOnly:
-			c.servers.Forget(id)
+		switch id := string(e.Entries[i].Server); {
+		case e.Entries[i].State == beechgrade.Removed && !c.cfg.Settings.SoftRemoval:
+			c.servers.Remove(id)
 		case e.Entries[i].State != beechgrade.Serving:
 			c.servers.Drain(id)
 		}
 	}
-	if kind != beechgrade.ListChanges && !c.cfg.Settings.DrainOnly { // where only draining binds, one that vanished may serve
-		c.servers.Retain(named)
+	if kind != beechgrade.ListChanges && !c.cfg.Settings.SoftRemoval { // where only draining binds, one that vanished may serve
+		c.servers.RemoveExcept(named)
 	}
 }
 
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -35,7 +35,7 @@
 
 // try is an attempt; one that was skipped has no ref.
 type try struct {
-	store  beechgrade.StoreID
+	server beechgrade.ServerID
 	ref    slots.Ref
 	began  float64
 	waited float64 // for a connection
@@ -44,14 +44,14 @@
 	result beechgrade.Result
 }
 
-// MaySend is backend.Events'. A request whose client is found to have gone is over at once.
-func (c *Core) MaySend(t backend.Tag, until float64) (tellMs int, ok bool) {
+// BeforeSend implements backend.Events. A request whose client has gone is over at once.
+func (c *Core) BeforeSend(t backend.AttemptID, until float64) (tellMs int, ok bool) {
 	q, ok := c.requests.Get(t.Request)
 	if !ok {
 		return 0, false
 	}
-	if !q.over && !q.client.Here() {
-		c.Gone(t.Request, "peer, seen at the send")
+	if !q.over && !q.client.Connected() {
+		c.Abandon(t.Request, "peer, seen at the send")
 		return 0, false
 	}
 	class, now := &c.cfg.Settings.Classes[q.class], c.loop.Now()
@@ -59,11 +59,12 @@
 		return 0, false
 	}
 	tellMs = int(max(1, math.Floor(until-now)))
-	if !c.guard.Send(invariant.Send{ID: q.id, Effect: class.Effect, Over: q.over, Out: q.out(), MayDuplicate: c.cfg.Settings.MayDuplicate,
-		RanAt: q.ranAt, WindowMs: clock.Millis(class.KeyWindow), Now: now, Due: q.due, TellMs: float64(tellMs)}) {
+	if !c.guard.CheckSend(invariant.Attempt{ID: q.id, Effect: class.Effect, RequestEnded: q.over, InFlight: q.out(),
+		MayDuplicate: c.cfg.Settings.MayDuplicate, FirstRunAt: q.ranAt, DedupWindowMs: clock.Milliseconds(class.DedupWindow),
+		Now: now, Deadline: q.due, TimeoutMs: float64(tellMs)}) {
 		return 0, false
 	}
-	q.tries[t.No].sent = now
+	q.tries[t.Number].sent = now
 	return tellMs, true
 }
 
@@ -91,7 +92,7 @@
 func (c *Core) conclude(a *beechgrade.Action) *request {
 	ref := refOf(a.ID)
 	q, ok := c.requests.Get(ref)
-	if !ok || q.over || !c.guard.Answer(q.id, q.answered) {
+	if !ok || q.over || !c.guard.CheckAnswer(q.id, q.answered) {
 		return nil
 	}
 	q.over, q.answered, q.why = true, true, a.Text
@@ -106,10 +107,10 @@
 		return
 	}
 	for i := range q.tries {
-		c.servers.Withdraw(q.tries[i].ref)
+		c.servers.CancelUnsent(q.tries[i].ref)
 	}
 	if _, ok := c.requests.Get(ref); ok && q.open == 0 { // the last one taken back has led here already
-		c.requests.Drop(ref)
+		c.requests.Delete(ref)
 		delete(c.ids, q.id)
 	}
 }
@@ -123,15 +124,16 @@
 	}
 	no, until := len(q.tries), q.due
 	if a.Wait != 0 {
-		until = min(until, c.loop.Now()+clock.Millis(a.Wait))
+		until = min(until, c.loop.Now()+clock.Milliseconds(a.Wait))
 	}
-	q.tries = append(q.tries, try{store: a.Store, began: c.loop.Now()})
+	q.tries = append(q.tries, try{server: a.Server, began: c.loop.Now()})
 	if q.over || no >= c.cfg.Settings.MaxAttempts || q.due <= c.loop.Now() {
-		c.tell(&beechgrade.Outcome{ID: a.ID, Attempt: no, Store: a.Store, Result: beechgrade.Skipped, Final: q.over})
+		c.tell(&beechgrade.Outcome{ID: a.ID, Attempt: no, Server: a.Server, Result: beechgrade.Skipped, Final: q.over})
 		return
 	}
 	q.open++
-	at := c.servers.Start(string(a.Store), q.query, until, clock.Millis(a.By), q.once, backend.Tag{Request: ref, No: no})
+	at := c.servers.Start(string(a.Server), q.query, until, clock.Milliseconds(a.SendDeadline), q.once,
+		backend.AttemptID{Request: ref, Number: no})
 	q.tries[no].ref = at
 }
 
@@ -139,7 +141,7 @@
 func requestID(r slots.Ref) beechgrade.RequestID {
 	var b [8]byte
 	binary.BigEndian.PutUint32(b[:4], r.Index)
-	binary.BigEndian.PutUint32(b[4:], r.Gen)
+	binary.BigEndian.PutUint32(b[4:], r.Generation)
 	return beechgrade.RequestID(b[:])
 }
 
@@ -148,5 +150,5 @@
 		return slots.Ref{}
 	}
 	b := []byte(id)
-	return slots.Ref{Index: binary.BigEndian.Uint32(b[:4]), Gen: binary.BigEndian.Uint32(b[4:])}
+	return slots.Ref{Index: binary.BigEndian.Uint32(b[:4]), Generation: binary.BigEndian.Uint32(b[4:])}
 }
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -23,7 +23,7 @@
 func (c *Core) trace(q *request, how string) {
 	now := c.loop.Now()
 	c.loop.Metrics().Add(metrics.Requests, how)
-	if how == "served" && now-q.arrived <= clock.Millis(c.cfg.Settings.Classes[q.class].Aim) {
+	if how == "served" && now-q.arrived <= clock.Milliseconds(c.cfg.Settings.Classes[q.class].LatencyTarget) {
 		return
 	}
 	t := &c.traces
@@ -37,7 +37,7 @@
 	var b strings.Builder
 	for i := range q.tries {
 		y := &q.tries[i]
-		fmt.Fprintf(&b, "%s:%.0f+%.0f", y.store, y.began-q.arrived, y.waited)
+		fmt.Fprintf(&b, "%s:%.0f+%.0f", y.server, y.began-q.arrived, y.waited)
 		if y.ended > 0 {
 			fmt.Fprintf(&b, "-%.0f:%s", y.ended-q.arrived, y.result)
 		}
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -18,10 +18,10 @@
 	var out bytes.Buffer
 	clk := &clock.Manual{Ms: 5000}
 	c := &Core{loop: loop.New(clk, nil, nil, nil), log: slog.New(slog.NewTextHandler(&out, nil)), cfg: &config.Config{
-		Settings: beechgrade.Settings{Classes: []beechgrade.Class{{Aim: 200 * time.Millisecond}}}, Classes: []string{"browse"}}}
+		Settings: beechgrade.Settings{Classes: []beechgrade.Class{{LatencyTarget: 200 * time.Millisecond}}}, Classes: []string{"browse"}}}
 	q := &request{id: "7f", arrived: 4700, due: 5500, group: 2, tries: []try{
-		{store: "a", began: 4700, waited: 3, ended: 4752, result: beechgrade.Missed},
-		{store: "b", began: 4752},
+		{server: "a", began: 4700, waited: 3, ended: 4752, result: beechgrade.Misdirected},
+		{server: "b", began: 4752},
 	}}
 	c.trace(q, "refused")
 	for _, want := range []string{"id=7f", "how=refused", "class=browse", "group=2", "ms=300", "patience=800",
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -44,13 +44,13 @@
 // List is one state of the list, or the changes since the last.
 type List struct {
 	Generation int64      `json:"generation"`
-	Reset      bool       `json:"reset"` // it is whole
+	Complete   bool       `json:"reset"` // the list is complete, not a set of changes
 	Instances  []Instance `json:"instances"`
 }
 
 // Events is told of lists and of calls that failed or ended.
 type Events interface {
-	Listed(l *List)
+	ListReceived(l *List)
 	ListFailed()
 }
 
@@ -72,10 +72,10 @@
 	return &Client{loop: l, log: log, addr: addr, gen: gen, events: events}
 }
 
-// Move asks another address from now on. What is open at the old one is given up without a word, so that its end
-// is nobody's failure, and asked for anew at once. The new one counts generations for itself: its list is asked for
-// from the first.
-func (c *Client) Move(addr string) {
+// SetAddress sends all further calls to another address. Open calls at the old address are dropped without being reported as
+// failures, and are repeated at the new one at once. The new address counts generations on its own, so its list is requested
+// from generation 0.
+func (c *Client) SetAddress(addr string) {
 	if addr == c.addr {
 		return
 	}
@@ -136,7 +136,7 @@
 // alive puts off the time at which the call counts as dead.
 func (k *call) alive() {
 	l := k.client.loop
-	l.Stop(k.timer)
+	l.StopTimer(k.timer)
 	k.timer = l.At(l.Now()+silentMs, func() { k.end(errors.New("silent for too long")) })
 }
 
@@ -150,7 +150,7 @@
 	if c.fetch == k {
 		c.fetch = nil
 	}
-	c.loop.Stop(k.timer)
+	c.loop.StopTimer(k.timer)
 	if k.conn != nil {
 		k.conn.Close(closeOver)
 	}
@@ -233,7 +233,7 @@
 	k.told = true
 	c.loop.Metrics().Add(metrics.DiscoveryCalls, "listed")
 	switch {
-	case l.Generation >= c.gen || k.watch && l.Reset:
+	case l.Generation >= c.gen || k.watch && l.Complete:
 	case !k.watch:
 		k.end(fmt.Errorf("generation %d, older than %d, which the watch has brought", l.Generation, c.gen))
 		return
@@ -243,11 +243,11 @@
 		return // a whole list that was asked for has overtaken it
 	}
 	c.gen = l.Generation
-	if c.moved && k.watch && !l.Reset { // changes since what? The list that is held is another's
+	if c.moved && k.watch && !l.Complete { // changes since what? The list that is held is another's
 		c.Fetch()
 	}
-	c.moved = c.moved && !l.Reset
-	c.events.Listed(l)
+	c.moved = c.moved && !l.Complete
+	c.events.ListReceived(l)
 }
 
 // Closed is loop's.
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -16,8 +16,8 @@
 // told are the generations of the lists that were told, and 0 for each failure.
 type told chan int64
 
-func (c told) Listed(l *List) { c <- l.Generation }
-func (c told) ListFailed()    { c <- 0 }
+func (c told) ListReceived(l *List) { c <- l.Generation }
+func (c told) ListFailed()          { c <- 0 }
 
 type nobody struct{}
 
@@ -45,7 +45,7 @@
 	go func() { ended <- r.loop.Run("127.0.0.1:0") }()
 	<-started
 	t.Cleanup(func() {
-		r.loop.End()
+		r.loop.Shutdown()
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
@@ -201,7 +201,7 @@
 func TestWholeListOfANewAddressFails(t *testing.T) {
 	r := newRig(t)
 	second := listen(t)
-	r.do(func() { r.client.Move(second.Addr().String()) })
+	r.do(func() { r.client.SetAddress(second.Addr().String()) })
 	watch := r.call(second, "/v1/endpoints?watch=1&from=0")
 	r.say(watch, chunked+line(40, false))
 	r.next(40)
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -240,7 +240,7 @@
 		switch head[0] {
 		case 'D':
 			a.outcome = Served
-			a.value, _ = pgwire.Column(body)
+			a.value, _ = pgwire.ParseColumn(body)
 		case 'E':
 			a.outcome = Failed
 			if code := pgwire.ErrorCode(body); code == "53300" || code == "57P03" {
--- a/internal/emulator/directory.go
+++ b/internal/emulator/directory.go
@@ -53,7 +53,7 @@
 func (d *Directory) Whole() discovery.List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l := discovery.List{Generation: d.gen, Reset: true, Instances: []discovery.Instance{}}
+	l := discovery.List{Generation: d.gen, Complete: true, Instances: []discovery.Instance{}}
 	for _, i := range d.list {
 		if i.Lifecycle != lifecycleRemoved {
 			l.Instances = append(l.Instances, i)
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -96,7 +96,7 @@
 	if _, err := io.CopyN(io.Discard, c, int64(binary.BigEndian.Uint32(size[:]))-4); err != nil {
 		return
 	}
-	if _, err := c.Write(pgwire.AppendWelcome(nil)); err != nil {
+	if _, err := c.Write(pgwire.AppendStartupReply(nil)); err != nil {
 		return
 	}
 	in, buf := pgwire.NewReader(1<<18), make([]byte, 1<<14)
@@ -113,7 +113,7 @@
 			in.Feed(buf[:n])
 			continue
 		}
-		sql, err := pgwire.Text(m.Body)
+		sql, err := pgwire.ParseText(m.Body)
 		if m.Type != 'Q' || err != nil {
 			return
 		}
@@ -132,8 +132,8 @@
 		s.ledger.Violate(RuleWrong, "%s is asked %.80q: %v", s.id, sql, err)
 		return
 	}
-	away := st.Writes && s.role != rolePrimary
-	a := s.ledger.Arrive(st.ID, s.id, time.Duration(st.WaitMs)*time.Millisecond, away)
+	away := st.IsWrite && s.role != rolePrimary
+	a := s.ledger.Arrive(st.ID, s.id, time.Duration(st.TimeoutMs)*time.Millisecond, away)
 	if a == nil {
 		return
 	}
--- a/internal/front/crowd.go
+++ b/internal/front/crowd.go
@@ -40,12 +40,12 @@
 
 // Budget is what the machine allows.
 type Budget struct {
-	Spare  func() int  // descriptors left for clients, below 0 where there are too many clients
-	Share  func() int  // clients with requests beyond which idle ones make room
-	Free   func() bool // frees a descriptor that something else uses, and tells whether there was one
-	Memory func() int  // bytes
+	SpareDescriptors    func() int  // descriptors left for clients, below 0 if there are too many clients
+	ActiveClientLimit   func() int  // with more active clients than this, idle ones are closed
+	CloseIdleServerConn func() bool // closes an idle connection to a server and reports whether there was one
+	MemoryBytes         func() int  // bytes
 
-	RetryMs float64 // the longest that a client may be told to stay away, 0 for no such advice
+	MaxRetryAfterMs float64 // longest retry-after that a client may be sent, 0 for none
 }
 
 // use ranks clients by what closing their connection would cost.
@@ -71,7 +71,7 @@
 		return mute
 	case s.idle():
 		return resting
-	case len(s.queue) == 0 && s.in.Pending() > 0:
+	case len(s.queue) == 0 && s.in.Buffered() > 0:
 		return halfway
 	}
 	return busy
@@ -95,9 +95,9 @@
 func (s *session) count() {
 	n, open := 0, 0
 	if !s.closed {
-		n = s.in.Pending()
+		n = s.in.Buffered()
 		if s.conn != nil {
-			n += s.conn.Unsent()
+			n += s.conn.UnsentBytes()
 		}
 		for _, a := range s.queue {
 			n += a.size
@@ -125,7 +125,7 @@
 			return
 		}
 		s.place() // by now it may have read its answers
-		if s.conn.Unsent() == 0 {
+		if s.conn.UnsentBytes() == 0 {
 			s.stuck = 0
 		} else if s.stuck == 0 {
 			s.stuck = now
@@ -136,11 +136,11 @@
 			s.close(closeLeft)
 		case s.stuck != 0 && now-s.stuck >= stuckMs:
 			s.close(closeStuck)
-		case s.use == silent && s.conn.Unsent() > 0: // it waits for this side's answer
-		case (s.use == silent || s.use == halfway) && !s.conn.Quiet(): // what is to come has come, and is only not read yet
-		case s.use == silent && s.in.Pending() == 0 && age >= startupMs:
+		case s.use == silent && s.conn.UnsentBytes() > 0: // it waits for this side's answer
+		case (s.use == silent || s.use == halfway) && !s.conn.NoPendingInput(): // what is to come has come, and is only not read yet
+		case s.use == silent && s.in.Buffered() == 0 && age >= startupMs:
 			s.close(closeSilent)
-		case (s.use == mute || s.use == resting) && age >= idleMs && s.conn.Quiet():
+		case (s.use == mute || s.use == resting) && age >= idleMs && s.conn.NoPendingInput():
 			s.close(closeIdle)
 		case s.use == silent && age >= startupMs:
 			s.fatal(codeProtocol, "the startup message is not whole in time")
@@ -148,7 +148,7 @@
 			s.fatal(codeProtocol, "the message is not whole in time")
 		}
 	})
-	if p.sessions.Len() > p.budget.Share() {
+	if p.sessions.Len() > p.budget.ActiveClientLimit() {
 		for p.evict(mute, restMs) {
 		}
 	}
@@ -163,30 +163,30 @@
 // anything, then among connections to servers, then among idle clients, which may connect anew, and those that
 // have long been in the midst of a message.
 func (p *Postgres) admit(s *session) bool {
-	for p.budget.Spare() < 0 {
-		if !p.evict(leaving, 0) && !p.evict(silent, 0) && !p.evict(mute, 0) && !p.budget.Free() &&
+	for p.budget.SpareDescriptors() < 0 {
+		if !p.evict(leaving, 0) && !p.evict(silent, 0) && !p.evict(mute, 0) && !p.budget.CloseIdleServerConn() &&
 			!p.evict(resting, 0) && !p.evict(halfway, sweepMs) {
 			p.turned++
 			return false
 		}
 	}
-	if p.budget.Spare() < p.sessions.Len() && !p.evict(mute, restMs) { // half of them are taken
+	if p.budget.SpareDescriptors() < p.sessions.Len() && !p.evict(mute, restMs) { // half of them are taken
 		p.evict(resting, restMs)
 	}
 	p.thin()
 	return true
 }
 
-// MakeRoom closes the connection of a client that waits for nothing, one to a server that is idle, or that of an idle client,
-// whichever there is first, and tells whether there was one. It is for when the system has no descriptor left.
-func (p *Postgres) MakeRoom() bool {
-	return p.evict(leaving, 0) || p.evict(silent, 0) || p.evict(mute, 0) || p.budget.Free() || p.evict(resting, 0)
+// FreeDescriptor closes one connection: that of a client that waits for nothing, an idle one to a server, or that of an idle
+// client, in this order. It reports whether there was one. It is called when the system has no descriptor left.
+func (p *Postgres) FreeDescriptor() bool {
+	return p.evict(leaving, 0) || p.evict(silent, 0) || p.evict(mute, 0) || p.budget.CloseIdleServerConn() || p.evict(resting, 0)
 }
 
 // thin closes clients' connections that rest, where those that ask are many: clients may open only so many, and
 // some keep each for a while after a single request.
 func (p *Postgres) thin() {
-	for p.crowd[resting].Len()+p.crowd[halfway].Len()+p.crowd[busy].Len() > p.budget.Share() && p.evict(resting, thinMs) {
+	for p.crowd[resting].Len()+p.crowd[halfway].Len()+p.crowd[busy].Len() > p.budget.ActiveClientLimit() && p.evict(resting, thinMs) {
 	}
 }
 
@@ -201,7 +201,7 @@
 		if s.rank() != u { // it is filed anew only after what it is at now
 			continue
 		}
-		if u == leaving || s.conn.Quiet() {
+		if u == leaving || s.conn.NoPendingInput() {
 			s.close(closeEvicted)
 			return true
 		}
@@ -210,11 +210,11 @@
 }
 
 // full tells whether open requests hold over half of what clients may, so that no further one is taken.
-func (p *Postgres) full() bool { return p.heldOpen > p.budget.Memory()/heldPart/2 }
+func (p *Postgres) full() bool { return p.heldOpen > p.budget.MemoryBytes()/heldPart/2 }
 
 // bound cuts off whoever holds most, beside its open requests, while all hold too much together.
 func (p *Postgres) bound() {
-	for p.held > p.budget.Memory()/heldPart {
+	for p.held > p.budget.MemoryBytes()/heldPart {
 		var most *session
 		p.sessions.Each(func(_ slots.Ref, s *session) {
 			s.count() // by now it may have read its answers
@@ -222,7 +222,7 @@
 				most = s
 			}
 		})
-		if most == nil || most.aside() == 0 || p.held <= p.budget.Memory()/heldPart {
+		if most == nil || most.aside() == 0 || p.held <= p.budget.MemoryBytes()/heldPart {
 			return
 		}
 		p.log.Warn("a client holds too much", "bytes", most.held)
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -9,15 +9,15 @@
 
 // Request is what a client asks, in no protocol's form.
 type Request struct {
-	ID      string // no two open requests have the same
-	Class   string
-	Group   int
-	Session string
-	Due     float64 // on the clock: the client gives up then
-	After   float64 // on the clock: the position that the read must see, 0 for none
-	Repeat  bool
-	Writes  bool // its statement says that it changes data
-	Query   backend.Query
+	ID          string // no two open requests have the same
+	Class       string
+	Group       int
+	Session     string
+	Deadline    float64 // on the loop's clock, in milliseconds: the client gives up at this time
+	MinPosition float64 // on the loop's clock: the read needs data at least this recent, 0 for no such need
+	Retry       bool
+	IsWrite     bool // its statement changes data
+	Query       backend.Query
 }
 
 // Client is told the one final answer to its request.
@@ -25,11 +25,11 @@
 	Served(answer []byte)    // valid during the call
 	Refused(retryMs float64) // trying again is harmless, after so long where that is not 0
 	Failed()                 // nothing is promised
-	Here() bool              // it has not gone, as far as the loop knows, or the system where the loop was held up
+	Connected() bool         // reports whether the client is still connected, asking the system if the loop was held up
 }
 
-// Desk takes requests in. Ask may answer before it returns; the Ref it returns then names none.
-type Desk interface {
-	Ask(q Request, c Client) (slots.Ref, error)
-	Gone(ref slots.Ref, why string) // its client has gone, or its connection was closed here
+// RequestHandler accepts requests. Submit may answer before it returns; the Ref that it returns is then no longer valid.
+type RequestHandler interface {
+	Submit(q Request, c Client) (slots.Ref, error)
+	Abandon(ref slots.Ref, why string) // the client has gone, or this side has closed its connection
 }
--- a/internal/front/postgres.go
+++ b/internal/front/postgres.go
@@ -36,7 +36,7 @@
 type Postgres struct {
 	loop     *loop.Loop
 	log      *slog.Logger
-	desk     Desk
+	desk     RequestHandler
 	budget   Budget
 	guard    *invariant.Guard
 	sessions slots.Table[*session]
@@ -49,40 +49,40 @@
 }
 
 // NewPostgres makes a front whose steps the guard checks.
-func NewPostgres(l *loop.Loop, log *slog.Logger, desk Desk, guard *invariant.Guard, budget Budget) *Postgres {
+func NewPostgres(l *loop.Loop, log *slog.Logger, desk RequestHandler, guard *invariant.Guard, budget Budget) *Postgres {
 	return &Postgres{loop: l, log: log, desk: desk, guard: guard, budget: budget}
 }
 
-// Accept makes the handler of a new connection.
-func (p *Postgres) Accept() loop.Handler {
+// NewHandler returns the handler of a new connection.
+func (p *Postgres) NewHandler() loop.Handler {
 	s := &session{front: p, in: pgwire.NewReader(maxMessage), since: p.loop.Now()}
 	s.ref = p.sessions.Put(s)
 	return s
 }
 
-// Sessions is the number of clients connected.
-func (p *Postgres) Sessions() int { return p.sessions.Len() }
+// SessionCount returns the number of connected clients.
+func (p *Postgres) SessionCount() int { return p.sessions.Len() }
 
-// Owes tells whether a client waits for an answer, or has not read all of one, or has sent what is not read yet: that
-// may be a request.
-func (p *Postgres) Owes() bool {
+// HasPendingWork reports whether a client waits for an answer, has not read all of one, or has sent input that has not been
+// read yet and may be a request.
+func (p *Postgres) HasPendingWork() bool {
 	owes := false
 	p.sessions.Each(func(_ slots.Ref, s *session) {
-		owes = owes || len(s.queue) > 0 || s.conn != nil && (s.conn.Unsent() > 0 || !s.ended && !s.conn.Quiet())
+		owes = owes || len(s.queue) > 0 || s.conn != nil && (s.conn.UnsentBytes() > 0 || !s.ended && !s.conn.NoPendingInput())
 	})
 	return owes
 }
 
-// Waiting is the number of requests that have no answer yet.
-func (p *Postgres) Waiting() int {
+// PendingRequests returns the number of requests that have no answer yet.
+func (p *Postgres) PendingRequests() int {
 	n := 0
 	p.sessions.Each(func(_ slots.Ref, s *session) { n += s.owed() })
 	return n
 }
 
-// End closes all that there is and takes nothing any more: a request that is read while the program ends would be sent
-// on, and nobody would be there for its answer.
-func (p *Postgres) End() {
+// CloseAll closes all connections and accepts no more requests: a request that is read while the program ends would be
+// forwarded, and nobody would be there to pass on its answer.
+func (p *Postgres) CloseAll() {
 	p.over = true
 	p.sessions.Each(func(_ slots.Ref, s *session) {
 		if s.conn != nil {
@@ -95,7 +95,7 @@
 func (p *Postgres) Drain() {
 	p.draining = true
 	p.sessions.Each(func(_ slots.Ref, s *session) {
-		if s.started && s.idle() && s.conn.Quiet() { // one that has just come is about to ask
+		if s.started && s.idle() && s.conn.NoPendingInput() { // one that has just come is about to ask
 			s.close(closeDrain)
 		}
 	})
@@ -141,14 +141,14 @@
 // itself is the reason, or the program ends.
 func (s *session) close(why loop.Reason) {
 	forced := why == closeStuck || why == closeMemory || why == closeProtocol
-	if !s.front.guard.Close(string(why), s.owed(), forced) && why != closeEnd {
+	if !s.front.guard.CheckClose(string(why), s.owed(), forced) && why != closeEnd {
 		return
 	}
 	s.conn.Close(why)
 }
 
 func (s *session) idle() bool {
-	return !s.closed && !s.ended && s.conn != nil && len(s.queue) == 0 && s.in.Pending() == 0 && s.conn.Unsent() == 0
+	return !s.closed && !s.ended && s.conn != nil && len(s.queue) == 0 && s.in.Buffered() == 0 && s.conn.UnsentBytes() == 0
 }
 
 // Opened is loop's.
@@ -160,7 +160,7 @@
 	}
 	if !s.front.admit(s) {
 		// By then those that rest have made room.
-		s.fatalUntil(codeRefused, "too many clients", min(restMs, s.front.budget.RetryMs))
+		s.fatalUntil(codeRefused, "too many clients", min(restMs, s.front.budget.MaxRetryAfterMs))
 	}
 	s.place()
 }
@@ -174,14 +174,14 @@
 		return
 	}
 	now := s.front.loop.Now()
-	came := min(now, s.conn.Since())
-	if s.started && len(s.queue) == 0 && s.in.Pending() == 0 {
+	came := min(now, s.conn.EarliestArrival())
+	if s.started && len(s.queue) == 0 && s.in.Buffered() == 0 {
 		s.since = now
 	}
 	s.in.Feed(b)
 	s.arrived.add(len(b), came)
 	s.proceed()
-	if !s.closed && s.in.Pending() > maxAhead {
+	if !s.closed && s.in.Buffered() > maxAhead {
 		s.fatal(codeProtocol, "too much sent ahead of the answers")
 	}
 	s.front.bound()
@@ -192,7 +192,7 @@
 func (s *session) proceed() {
 	defer s.place()
 	for !s.closed && !s.ended && len(s.queue) < maxQueue {
-		if s.started && s.conn.Unsent() > maxUnsent {
+		if s.started && s.conn.UnsentBytes() > maxUnsent {
 			s.later(recheckMs) // it does not read its answers
 			return
 		}
@@ -205,14 +205,14 @@
 			break
 		}
 	}
-	if s.front.draining && s.started && s.idle() && s.conn.Quiet() {
+	if s.front.draining && s.started && s.idle() && s.conn.NoPendingInput() {
 		s.close(closeDrain)
 	}
 }
 
 func (s *session) later(ms float64) {
 	l := s.front.loop
-	l.Stop(s.recheck)
+	l.StopTimer(s.recheck)
 	s.recheck = l.At(l.Now()+ms, s.proceed)
 }
 
@@ -221,7 +221,7 @@
 		return s.startup()
 	}
 	// By its first byte, as the rest of what is no message may be long in coming.
-	if typ, ok := s.in.Type(); ok && !strings.ContainsRune("QXSPBDECHF", rune(typ)) {
+	if typ, ok := s.in.NextType(); ok && !strings.ContainsRune("QXSPBDECHF", rune(typ)) {
 		return false, fmt.Errorf("%w: type %q", pgwire.ErrMalformed, typ)
 	}
 	m, ok, err := s.in.Next()
@@ -231,7 +231,7 @@
 	at := s.arrived.take(len(m.Raw))
 	switch m.Type {
 	case 'Q':
-		sql, err := pgwire.Text(m.Body)
+		sql, err := pgwire.ParseText(m.Body)
 		if err != nil {
 			return false, err
 		}
@@ -256,12 +256,12 @@
 }
 
 func (s *session) startup() (bool, error) {
-	before := s.in.Pending()
+	before := s.in.Buffered()
 	kind, ok, err := s.in.Startup()
 	if err != nil || !ok {
 		return false, err
 	}
-	s.arrived.take(before - s.in.Pending())
+	s.arrived.take(before - s.in.Buffered())
 	switch kind {
 	case pgwire.StartupEncrypt:
 		s.send([]byte{'N'})
@@ -269,7 +269,7 @@
 		s.close(closeCancel)
 	default:
 		s.started, s.since = true, s.front.loop.Now()
-		s.send(pgwire.AppendWelcome(s.out[:0]))
+		s.send(pgwire.AppendStartupReply(s.out[:0]))
 	}
 	return true, nil
 }
@@ -290,24 +290,24 @@
 		s.answerError(codeSyntax, err)
 		return
 	}
-	q := Request{ID: st.ID, Class: st.Class, Writes: st.Writes, Group: st.Group, Session: st.Key, Due: at + st.WaitMs,
-		Repeat: st.Retry, Query: &st}
-	if st.After > 0 {
-		q.After = clock.FromUnix(st.After)
+	q := Request{ID: st.ID, Class: st.Class, IsWrite: st.IsWrite, Group: st.Group, Session: st.SessionKey,
+		Deadline: at + st.TimeoutMs, Retry: st.Retry, Query: &st}
+	if st.AfterMs > 0 {
+		q.MinPosition = clock.FromUnix(st.AfterMs)
 	}
 	a := s.begin(len(sql))
 	a.open = true
 	if s.count(); s.front.full() {
-		a.Refused(min(restMs, s.front.budget.RetryMs))
+		a.Refused(min(restMs, s.front.budget.MaxRetryAfterMs))
 		return
 	}
-	ref, err := s.front.desk.Ask(q, a)
+	ref, err := s.front.desk.Submit(q, a)
 	switch {
 	case err != nil:
 		a.open = false
 		a.finish(pgwire.AppendReady(pgwire.AppendError(s.out[:0], "ERROR", codeSyntax, err.Error(), "")))
 	case s.closed: // by what the request led to, before it had a name here
-		s.front.desk.Gone(ref, s.conn.Why())
+		s.front.desk.Abandon(ref, s.conn.CloseReason())
 	case a.open:
 		a.ref = ref
 	}
@@ -356,8 +356,8 @@
 		return
 	}
 	s.closed = true
-	s.front.sessions.Drop(s.ref)
-	s.front.loop.Stop(s.recheck)
+	s.front.sessions.Delete(s.ref)
+	s.front.loop.StopTimer(s.recheck)
 	s.place()
 	s.abandon()
 }
--- a/internal/front/postgres_test.go
+++ b/internal/front/postgres_test.go
@@ -13,14 +13,14 @@
 	"beechgrade/internal/slots"
 )
 
-// desk is a Desk that does what a test says.
+// desk is a RequestHandler that does what a test says.
 type desk struct {
 	ask  func(Request, Client) (slots.Ref, error)
 	gone func(slots.Ref)
 }
 
-func (d desk) Ask(q Request, c Client) (slots.Ref, error) { return d.ask(q, c) }
-func (d desk) Gone(ref slots.Ref, _ string)               { d.gone(ref) }
+func (d desk) Submit(q Request, c Client) (slots.Ref, error) { return d.ask(q, c) }
+func (d desk) Abandon(ref slots.Ref, _ string)               { d.gone(ref) }
 
 // TestClosedWhileItAsks: a client's connection breaks at the answer to an earlier command, which the very request that it puts
 // has brought about, so that the request has no name at its session yet. It is told as gone all the same, or it would be
@@ -28,14 +28,14 @@
 func TestClosedWhileItAsks(t *testing.T) {
 	var p *Postgres
 	var first Client
-	named, gone := slots.Ref{Index: 7, Gen: 3}, make(chan slots.Ref, 9)
+	named, gone := slots.Ref{Index: 7, Generation: 3}, make(chan slots.Ref, 9)
 	ready, ended := make(chan struct{}), make(chan error, 1)
-	l := loop.New(clock.System(), slog.New(slog.DiscardHandler), func() loop.Handler { return p.Accept() }, func() {})
+	l := loop.New(clock.System(), slog.New(slog.DiscardHandler), func() loop.Handler { return p.NewHandler() }, func() {})
 	p = NewPostgres(l, slog.New(slog.DiscardHandler), desk{
 		ask: func(_ Request, c Client) (slots.Ref, error) {
 			if first == nil {
 				first = c
-				return slots.Ref{Index: 1, Gen: 1}, nil
+				return slots.Ref{Index: 1, Generation: 1}, nil
 			}
 			p.sessions.Each(func(_ slots.Ref, s *session) { // the write of its answer finds the connection broken
 				if s.asked {
@@ -46,9 +46,10 @@
 			return named, nil
 		},
 		gone: func(ref slots.Ref) { gone <- ref },
-	}, invariant.New(slog.New(slog.DiscardHandler), l.Metrics()), Budget{Spare: func() int { return 9 }, Share: func() int { return 9 }, Free: func() bool { return false },
-		Memory: func() int { return 1 << 20 }})
-	l.Ready = func() { close(ready) }
+	}, invariant.New(slog.New(slog.DiscardHandler), l.Metrics()), Budget{SpareDescriptors: func() int { return 9 },
+		ActiveClientLimit: func() int { return 9 }, CloseIdleServerConn: func() bool { return false },
+		MemoryBytes: func() int { return 1 << 20 }})
+	l.OnReady = func() { close(ready) }
 	go func() { ended <- l.Run("127.0.0.1:0") }()
 	<-ready
 	c, err := net.Dial("tcp", l.Addr())
@@ -72,7 +73,7 @@
 			t.Fatalf("the request was never told as gone, only %v", told)
 		}
 	}
-	l.End()
+	l.Shutdown()
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
--- a/internal/front/queue.go
+++ b/internal/front/queue.go
@@ -63,7 +63,7 @@
 	if len(s.queue) == 0 {
 		s.queue = nil
 	}
-	if full && s.in.Pending() > 0 || s.front.draining {
+	if full && s.in.Buffered() > 0 || s.front.draining {
 		s.later(0) // off this call, so that the caller's work comes first
 	}
 	s.place()
@@ -82,8 +82,8 @@
 		retryDetail(retryMs))))
 }
 
-// Here is Client's.
-func (a *answer) Here() bool { return !a.s.closed && !a.s.conn.Ended() }
+// Connected implements Client.
+func (a *answer) Connected() bool { return !a.s.closed && !a.s.conn.PeerClosed() }
 
 // retryDetail is the field D of a refusal.
 func retryDetail(ms float64) string {
@@ -105,12 +105,12 @@
 	if s.closed || s.leaving {
 		return
 	}
-	if s.front.crowd[leaving].Len() >= maxLeaving || s.conn.Unsent() > 0 || s.conn.CloseWrite() != nil {
+	if s.front.crowd[leaving].Len() >= maxLeaving || s.conn.UnsentBytes() > 0 || s.conn.CloseWrite() != nil {
 		s.close(closeLastWord)
 		return
 	}
 	s.ended, s.leaving, s.since = true, true, s.front.loop.Now()
-	s.front.loop.Stop(s.recheck)
+	s.front.loop.StopTimer(s.recheck)
 	s.in.Reset()
 	s.place()
 	s.abandon()
@@ -123,7 +123,7 @@
 	for _, a := range queue {
 		if a.open {
 			a.open = false
-			s.front.desk.Gone(a.ref, s.conn.Why())
+			s.front.desk.Abandon(a.ref, s.conn.CloseReason())
 		}
 	}
 	s.count()
--- a/internal/front/room_test.go
+++ b/internal/front/room_test.go
@@ -30,22 +30,22 @@
 func newShop(t *testing.T, memory int) *shop {
 	s := &shop{t: t, asked: make(chan Client, 99), ask: func() {}}
 	log := slog.New(slog.DiscardHandler)
-	s.loop = loop.New(clock.System(), log, func() loop.Handler { return s.front.Accept() }, func() {})
+	s.loop = loop.New(clock.System(), log, func() loop.Handler { return s.front.NewHandler() }, func() {})
 	s.front = NewPostgres(s.loop, log, desk{
 		ask: func(_ Request, c Client) (slots.Ref, error) {
 			s.ask()
 			s.asked <- c
-			return slots.Ref{Index: 1, Gen: 1}, nil
+			return slots.Ref{Index: 1, Generation: 1}, nil
 		},
 		gone: func(slots.Ref) {},
-	}, invariant.New(log, s.loop.Metrics()), Budget{Spare: func() int { return 9 }, Share: func() int { return 9 },
-		Free: func() bool { return false }, Memory: func() int { return memory }})
+	}, invariant.New(log, s.loop.Metrics()), Budget{SpareDescriptors: func() int { return 9 }, ActiveClientLimit: func() int { return 9 },
+		CloseIdleServerConn: func() bool { return false }, MemoryBytes: func() int { return memory }})
 	ready, ended := make(chan struct{}), make(chan error, 1)
-	s.loop.Ready = func() { close(ready) }
+	s.loop.OnReady = func() { close(ready) }
 	go func() { ended <- s.loop.Run("127.0.0.1:0") }()
 	<-ready
 	t.Cleanup(func() {
-		s.loop.End()
+		s.loop.Shutdown()
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
@@ -63,7 +63,7 @@
 	_ = c.SetDeadline(time.Now().Add(patience))
 	s.t.Cleanup(func() { _ = c.Close() })
 	s.write(c, pgwire.AppendStartup(nil, "backend", "store"))
-	s.read(c, len(pgwire.AppendWelcome(nil)))
+	s.read(c, len(pgwire.AppendStartupReply(nil)))
 	return c
 }
 
@@ -120,11 +120,11 @@
 		s.ask = func() {}
 		s.write(unread, request("2", 1)) // it lies there while the loop is in this call
 		s.front.sessions.Each(func(_ slots.Ref, other *session) {
-			for end := time.Now().Add(patience); other.rank() != busy && other.conn.Quiet() && time.Now().Before(end); {
+			for end := time.Now().Add(patience); other.rank() != busy && other.conn.NoPendingInput() && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
 		})
-		made <- s.front.MakeRoom()
+		made <- s.front.FreeDescriptor()
 	}
 	s.do(func() { s.ask = once })
 	s.write(asks, request("1", 1))
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -46,64 +46,64 @@
 	return false
 }
 
-// Send is an attempt that is about to be written to a server. Times are in milliseconds on the loop's clock.
-type Send struct {
-	ID           string
-	Effect       beechgrade.Effect
-	Over         bool    // the request has its final answer, or its client has gone
-	Out          int     // other attempts that were written and have not ended
-	MayDuplicate bool    // the settings allow a second copy
-	RanAt        float64 // the first attempt that may have run was written then, 0 for none
-	WindowMs     float64 // keyed: so long after that a repeat is dropped
-	Now, Due     float64
-	TellMs       float64 // the time that the server is told
+// Attempt is an attempt that is about to be written to a server. Times are in milliseconds on the loop's clock.
+type Attempt struct {
+	ID            string
+	Effect        beechgrade.Effect
+	RequestEnded  bool    // the request has its final answer, or its client has gone
+	InFlight      int     // number of other attempts of the request that were written and have not ended
+	MayDuplicate  bool    // the settings allow a second copy
+	FirstRunAt    float64 // when the first attempt that may have run was written, 0 for none
+	DedupWindowMs float64 // for deduplicated requests: repeats are dropped for this long after FirstRunAt
+	Now, Deadline float64
+	TimeoutMs     float64 // the time limit that is sent to the server
 }
 
-// Send tells whether an attempt may be written.
-func (g *Guard) Send(s Send) bool {
+// CheckSend reports whether an attempt may be written.
+func (g *Guard) CheckSend(s Attempt) bool {
 	switch {
-	case s.Over:
+	case s.RequestEnded:
 		return g.violated(SentAfterOver, "id", s.ID)
-	case s.Now >= s.Due:
-		return g.violated(SentAfterDue, "id", s.ID, "late_ms", s.Now-s.Due)
-	case s.Out > 0 && !s.MayDuplicate:
-		return g.violated(TwoOut, "id", s.ID, "out", s.Out)
-	case s.RanAt > 0 && s.Effect == beechgrade.Unsafe,
-		s.RanAt > 0 && s.Effect == beechgrade.Keyed && s.Now >= s.RanAt+s.WindowMs:
-		return g.violated(RanMaybeTwice, "id", s.ID, "since_ms", s.Now-s.RanAt)
-	case s.TellMs > max(1, s.Due-s.Now): // less than 1 ms is told as 1
-		return g.violated(ToldTooLong, "id", s.ID, "told_ms", s.TellMs, "left_ms", s.Due-s.Now)
+	case s.Now >= s.Deadline:
+		return g.violated(SentAfterDue, "id", s.ID, "late_ms", s.Now-s.Deadline)
+	case s.InFlight > 0 && !s.MayDuplicate:
+		return g.violated(TwoOut, "id", s.ID, "out", s.InFlight)
+	case s.FirstRunAt > 0 && s.Effect == beechgrade.Unsafe,
+		s.FirstRunAt > 0 && s.Effect == beechgrade.Deduplicated && s.Now >= s.FirstRunAt+s.DedupWindowMs:
+		return g.violated(RanMaybeTwice, "id", s.ID, "since_ms", s.Now-s.FirstRunAt)
+	case s.TimeoutMs > max(1, s.Deadline-s.Now): // less than 1 ms is told as 1
+		return g.violated(ToldTooLong, "id", s.ID, "told_ms", s.TimeoutMs, "left_ms", s.Deadline-s.Now)
 	}
 	return true
 }
 
-// Answer tells whether a request may be given a final answer. before says that it has had one.
-func (g *Guard) Answer(id string, before bool) bool {
+// CheckAnswer reports whether a request may be given a final answer. before says that it has already had one.
+func (g *Guard) CheckAnswer(id string, before bool) bool {
 	if before {
 		return g.violated(AnsweredTwice, "id", id)
 	}
 	return true
 }
 
-// Close tells whether a client's connection may be closed for the given reason with so many requests unanswered on it. forced says
-// that the client itself is the reason: it does not read, or sends what cannot be taken.
-func (g *Guard) Close(why string, owed int, forced bool) bool {
+// CheckClose reports whether a client's connection may be closed for the given reason while owed requests on it are
+// unanswered. forced says that the client itself is the reason: it does not read, or sends input that cannot be accepted.
+func (g *Guard) CheckClose(why string, owed int, forced bool) bool {
 	if owed > 0 && !forced {
 		return g.violated(ClosedOwing, "why", why, "owed", owed)
 	}
 	return true
 }
 
-// Take tells whether a request may be taken.
-func (g *Guard) Take(id string) bool {
+// CheckAccept reports whether a request may be accepted.
+func (g *Guard) CheckAccept(id string) bool {
 	if g.ended {
 		return g.violated(TakenAfterEnd, "id", id)
 	}
 	return true
 }
 
-// End notes that the process ends its service with so many requests unanswered.
-func (g *Guard) End(unanswered int) bool {
+// CheckShutdown records that the process ends its service with the given number of requests unanswered.
+func (g *Guard) CheckShutdown(unanswered int) bool {
 	g.ended = true
 	if unanswered > 0 {
 		return g.violated(EndedUnanswered, "requests", unanswered)
--- a/internal/loop/conn.go
+++ b/internal/loop/conn.go
@@ -63,8 +63,8 @@
 	return c
 }
 
-// Why says who ended the connection: this side's reason, or "peer".
-func (c *Conn) Why() string {
+// CloseReason returns why the connection ended: this side's reason, or "peer".
+func (c *Conn) CloseReason() string {
 	if c.why == "" {
 		return "peer"
 	}
@@ -77,7 +77,7 @@
 	if c.state != open {
 		return net.ErrClosed
 	}
-	if c.Unsent() == 0 {
+	if c.UnsentBytes() == 0 {
 		n, err := c.send(b)
 		if err != nil {
 			c.finish(err)
@@ -121,7 +121,7 @@
 
 // flush writes what is buffered.
 func (c *Conn) flush() {
-	if c.writeStops || c.Unsent() == 0 {
+	if c.writeStops || c.UnsentBytes() == 0 {
 		return
 	}
 	n, err := c.send(c.out[c.sent:])
@@ -194,13 +194,13 @@
 // retry sets the next try.
 func (c *Conn) retry() {
 	l := c.loop
-	l.Stop(c.again)
+	l.StopTimer(c.again)
 	c.again = l.At(l.Now()+c.tries.next(l.Now()), c.tryAgain)
 }
 
 // tryAgain reads and writes without waiting for the poller, which may not be able to watch the connection.
 func (c *Conn) tryAgain() {
-	c.loop.Stop(c.again)
+	c.loop.StopTimer(c.again)
 	c.again = nil
 	if c.tries.enduring(c.loop.Now()) {
 		c.abandon("poll", unix.ETIMEDOUT)
@@ -242,7 +242,7 @@
 // watch has the poller tell what is waited for. Where it cannot, tries in short order take its place.
 func (c *Conn) watch() {
 	var events uint32
-	if c.state == connecting || c.Unsent() > 0 && !c.writeStops {
+	if c.state == connecting || c.UnsentBytes() > 0 && !c.writeStops {
 		events |= unix.EPOLLOUT
 	}
 	if c.state == open && !c.readStops {
@@ -266,21 +266,22 @@
 	c.registered, c.interest = true, events
 }
 
-// Since is the earliest time at which what Data tells may have come: before now where reading or accepting had failed meanwhile.
-func (c *Conn) Since() float64 {
+// EarliestArrival returns the earliest time at which the bytes passed to Data may have arrived. It is before now if reading or
+// accepting failed in the meantime.
+func (c *Conn) EarliestArrival() float64 {
 	if c.lateSince == 0 {
 		return c.loop.Now()
 	}
 	return c.lateSince
 }
 
-// Ended tells whether the other side has closed the connection, or it has broken. Where the loop may not have come to that yet, as it
-// was held up or reading fails, it asks the system.
-func (c *Conn) Ended() bool {
+// PeerClosed reports whether the peer has closed the connection, or the connection has broken. If the loop may not have
+// noticed yet, because it was held up or reading fails, it asks the system.
+func (c *Conn) PeerClosed() bool {
 	if c.state != open {
 		return true
 	}
-	if c.lateSince == 0 && !c.loop.Stale() {
+	if c.lateSince == 0 && !c.loop.PollOverdue() {
 		return false
 	}
 	var b [1]byte
@@ -296,8 +297,8 @@
 	return err == nil && n > 0 && asked[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// Unsent is the number of bytes written that the socket has not taken yet.
-func (c *Conn) Unsent() int {
+// UnsentBytes returns the number of written bytes that the socket has not accepted yet.
+func (c *Conn) UnsentBytes() int {
 	if c.state == gone {
 		return 0
 	}
@@ -322,8 +323,8 @@
 	}
 	was := c.state
 	c.state = ending
-	c.loop.Stop(c.again)
-	c.loop.Stop(c.dial.timer)
+	c.loop.StopTimer(c.again)
+	c.loop.StopTimer(c.dial.timer)
 	if was == open {
 		c.h.Closed(err)
 	}
@@ -331,13 +332,13 @@
 		c.sendRest()
 	}
 	c.state, c.out = gone, nil
-	c.loop.conns.Drop(c.ref)
+	c.loop.conns.Delete(c.ref)
 	_ = c.loop.kernel.closeFD(c.fd)
 }
 
 // sendRest has the socket take what it can of what is buffered.
 func (c *Conn) sendRest() {
-	for c.Unsent() > 0 {
+	for c.UnsentBytes() > 0 {
 		n, err := c.loop.kernel.write(c.fd, c.out[c.sent:])
 		if err != nil || n <= 0 {
 			return
@@ -346,8 +347,8 @@
 	}
 }
 
-// Discard has bytes that were written and that the socket has not taken go nowhere, also at the close.
-func (c *Conn) Discard() { c.out, c.sent = nil, 0 }
+// DiscardUnsent drops the written bytes that the socket has not accepted yet, so that they are not sent at the close either.
+func (c *Conn) DiscardUnsent() { c.out, c.sent = nil, 0 }
 
 // CloseWrite ends the sending; what the other side still sends is told as before.
 func (c *Conn) CloseWrite() error {
@@ -361,9 +362,9 @@
 	return nil
 }
 
-// Quiet tells whether the connection stands open with nothing to read: neither data nor an end that
-// the loop has not come to yet. Where the system cannot tell, it does not count as quiet.
-func (c *Conn) Quiet() bool {
+// NoPendingInput reports whether the connection is open with nothing to read: neither data nor an end of stream that the loop
+// has not read yet. It returns false if the system cannot tell.
+func (c *Conn) NoPendingInput() bool {
 	if c.state != open {
 		return false
 	}
--- a/internal/loop/dial.go
+++ b/internal/loop/dial.go
@@ -49,7 +49,7 @@
 		return
 	}
 	go func() { // a name: finding its address may take a while
-		ctx, cancel := context.WithTimeout(context.Background(), clock.Span(timeoutMs))
+		ctx, cancel := context.WithTimeout(context.Background(), clock.Duration(timeoutMs))
 		defer cancel()
 		resolved, err := resolve(ctx, addr)
 		l.Post(func() {
@@ -86,7 +86,7 @@
 func (l *Loop) dial(to unix.Sockaddr, family int, until float64, h Handler, failed func(error)) {
 	l.metrics.Add(metrics.Connections, "dialled")
 	fd, err := l.kernel.socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
-	if outOfDescriptors(err) && l.Exhausted != nil && l.Exhausted() {
+	if outOfDescriptors(err) && l.OnDescriptorsExhausted != nil && l.OnDescriptorsExhausted() {
 		fd, err = l.kernel.socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	}
 	if err != nil {
@@ -141,7 +141,7 @@
 		c.abandon("connect", status)
 		return
 	}
-	c.loop.Stop(c.dial.timer)
+	c.loop.StopTimer(c.dial.timer)
 	c.state = open
 	c.tries.reset()
 	c.watch()
--- a/internal/loop/errno.go
+++ b/internal/loop/errno.go
@@ -32,7 +32,7 @@
 //	connect               any other                                   a DialError                          TestDialFails
 //	getsockopt(SO_ERROR)  any                                         three tries, then a local DialError  TestDialFails
 //	setsockopt            any                                         goes on without the option           TestDialFails
-//	recvfrom (Quiet)      EINTR, ENOBUFS, ENOMEM                      three tries, then "not quiet"        TestQuietInterrupted
+//	recvfrom (peek)       EINTR, ENOBUFS, ENOMEM                      NoPendingInput: three tries, false   TestQuietInterrupted
 //	shutdown              any                                         told to the caller, who closes       -
 //	close                 any                                         nothing: Linux has freed it          -
 //	bind, listen, ...     any, at the start                           new tries for 5 s, then status 1     TestListenFails
--- a/internal/loop/faults_test.go
+++ b/internal/loop/faults_test.go
@@ -67,7 +67,7 @@
 	r.Loop = New(clock.System(), slog.New(slog.DiscardHandler), func() Handler { return &echo{closed: r.closed} }, func() {})
 	change(r.kernel)
 	ready := make(chan struct{})
-	r.Ready = func() { close(ready) }
+	r.OnReady = func() { close(ready) }
 	go func() { r.done <- r.Run("127.0.0.1:0") }()
 	select {
 	case <-ready:
@@ -75,7 +75,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		r.End()
+		r.Shutdown()
 		if err := <-r.done; err != nil {
 			t.Error(err)
 		}
@@ -127,7 +127,7 @@
 					}
 				})
 				asked := 0
-				r.onLoop(func() { r.Exhausted = func() bool { asked++; return false } })
+				r.onLoop(func() { r.OnDescriptorsExhausted = func() bool { asked++; return false } })
 				standing := r.client()
 				r.echoes(standing, "before")
 				f.left.Store(times)
@@ -137,8 +137,8 @@
 					t.Errorf("counted %d failures, want %d", got, times)
 				}
 				r.onLoop(func() {
-					if want := no == unix.EMFILE || no == unix.ENFILE; (asked > 0) != want || r.Backlog() {
-						t.Errorf("asked %d times for room, backlog %v", asked, r.Backlog())
+					if want := no == unix.EMFILE || no == unix.ENFILE; (asked > 0) != want || r.AcceptPaused() {
+						t.Errorf("asked %d times for room, backlog %v", asked, r.AcceptPaused())
 					}
 				})
 			})
@@ -159,7 +159,7 @@
 	})
 	made := make(chan bool, 9)
 	r.onLoop(func() {
-		r.Exhausted = func() bool {
+		r.OnDescriptorsExhausted = func() bool {
 			made <- true
 			return true
 		}
@@ -505,7 +505,7 @@
 	for times, want := range map[int64]bool{0: true, fewRepeats - 1: true, fewRepeats: false} {
 		r.onLoop(func() {
 			f.left.Store(times)
-			if got := c.Quiet(); got != want {
+			if got := c.NoPendingInput(); got != want {
 				t.Errorf("after %d failures quiet is %v", times, got)
 			}
 		})
--- a/internal/loop/listener.go
+++ b/internal/loop/listener.go
@@ -112,7 +112,7 @@
 		}
 		l.failed("accept4", err)
 		pauseMs := n.tries.next(l.Now())
-		roomMade := outOfDescriptors(err) && l.Exhausted != nil && l.Exhausted()
+		roomMade := outOfDescriptors(err) && l.OnDescriptorsExhausted != nil && l.OnDescriptorsExhausted()
 		if repeats++; repeats < fewRepeats && (roomMade || ofTheNewConnection(err)) {
 			continue
 		}
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -2,7 +2,7 @@
 // functions and deadlines all run on it, one at a time, so nothing needs a lock.
 //
 // A failing system call never ends the loop, nor a connection that may still be sound: see the table in errno.go. Once it serves,
-// the loop ends when End is called, and for no other reason.
+// the loop ends when Shutdown is called, and for no other reason.
 package loop
 
 import (
@@ -34,13 +34,14 @@
 // readSize is how many bytes one read takes at most.
 const readSize = 1 << 16
 
-// Loop is the event loop. Now, At, Stop and Conn's methods are for functions that run on it; Post may be called from anywhere.
+// Loop is the event loop. Now, At, StopTimer and Conn's methods are for functions that run on it; Post may be called from
+// anywhere.
 type Loop struct {
-	// Ready, if it is set before Run, runs on the loop once it serves.
-	Ready func()
-	// Exhausted, if it is set before Run, is called when the process has no descriptor left. It may close connections, and tells
-	// whether it did.
-	Exhausted func() bool
+	// OnReady, if it is set before Run, runs on the loop once it serves.
+	OnReady func()
+	// OnDescriptorsExhausted, if it is set before Run, is called when the process has no descriptor left. It may close
+	// connections, and reports whether it did.
+	OnDescriptorsExhausted func() bool
 
 	clk     clock.Clock
 	log     *slog.Logger
@@ -78,7 +79,7 @@
 // Metrics is the counters of the pooler that runs on this loop.
 func (l *Loop) Metrics() *metrics.Set { return l.metrics }
 
-// Run listens on addr and serves until End. It returns an error if it cannot begin to serve.
+// Run listens on addr and serves until Shutdown. It returns an error if it cannot begin to serve.
 func (l *Loop) Run(addr string) error {
 	if err := l.open(addr); err != nil {
 		return err
@@ -87,8 +88,8 @@
 	l.told = l.Now()
 	l.toldBefore = l.told
 	l.start()
-	if l.Ready != nil {
-		l.Ready()
+	if l.OnReady != nil {
+		l.OnReady()
 	}
 	l.turn()
 	for !l.ending {
@@ -133,7 +134,7 @@
 			return fmt.Errorf("listen: %w", err)
 		}
 		l.failed("listen", err)
-		time.Sleep(clock.Span(tries.next(now)))
+		time.Sleep(clock.Duration(tries.next(now)))
 	}
 }
 
@@ -157,7 +158,7 @@
 	}
 	l.failed("epoll_wait", err)
 	l.toldBefore, l.told = l.told, l.Now()
-	time.Sleep(clock.Span(min(pauseMs, unpolledMs)))
+	time.Sleep(clock.Duration(min(pauseMs, unpolledMs)))
 	l.listener.ready(l)
 	l.conns.Each(func(_ slots.Ref, c *Conn) {
 		c.tryAgain()
@@ -232,7 +233,7 @@
 		return
 	}
 	l.metrics.Add(metrics.SyscallErrors, "eventfd_write."+errnoName(err))
-	time.AfterFunc(clock.Span(firstPauseMs), func() {
+	time.AfterFunc(clock.Duration(firstPauseMs), func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		if l.awake && !l.over {
@@ -241,21 +242,21 @@
 	})
 }
 
-// End stops the loop; Run returns.
-func (l *Loop) End() { l.Post(func() { l.ending = true }) }
+// Shutdown stops the loop; Run returns.
+func (l *Loop) Shutdown() { l.Post(func() { l.ending = true }) }
 
 // Addr is the address that the loop listens on, with its port where any was asked for.
 func (l *Loop) Addr() string { return l.listener.addr }
 
-// Backlog tells whether clients may wait to be accepted because that has failed.
-func (l *Loop) Backlog() bool { return l.listener.paused }
+// AcceptPaused reports whether clients may be waiting to be accepted because accepting has failed.
+func (l *Loop) AcceptPaused() bool { return l.listener.paused }
 
 // staleMs is how long ago the poller may have been asked last: less than 100 ms, after which no attempt may begin for a client
 // that has gone.
 const staleMs = 50
 
-// Stale tells whether the loop was held up, or idle, for so long that a client may have gone without it being told.
-func (l *Loop) Stale() bool { return l.Now()-l.toldBefore > staleMs }
+// PollOverdue reports whether the loop was held up, or idle, for so long that a client may have gone unnoticed.
+func (l *Loop) PollOverdue() bool { return l.Now()-l.toldBefore > staleMs }
 
 // Now is the time in milliseconds.
 func (l *Loop) Now() float64 { return l.clk.Now() }
@@ -263,5 +264,5 @@
 // At runs f on the loop at the given time.
 func (l *Loop) At(ms float64, f func()) *deadline.Timer { return l.heap.Add(ms, f) }
 
-// Stop takes a deadline down.
-func (l *Loop) Stop(t *deadline.Timer) { l.heap.Stop(t) }
+// StopTimer removes a timer.
+func (l *Loop) StopTimer(t *deadline.Timer) { l.heap.Stop(t) }
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -40,18 +40,18 @@
 	c := <-w.opened
 	done := make(chan [2]bool)
 	l.Post(func() { // the loop stands here and cannot be told of the close
-		before := c.Quiet()
+		before := c.NoPendingInput()
 		_ = far.Close()
-		after := c.Quiet()
+		after := c.NoPendingInput()
 		for end := time.Now().Add(20 * time.Second); after && time.Now().Before(end); {
-			after = c.Quiet()
+			after = c.NoPendingInput()
 		}
 		done <- [2]bool{before, after}
 	})
 	if got := <-done; got != [2]bool{true, false} {
 		t.Errorf("quiet before and after the close: %v", got)
 	}
-	l.End()
+	l.Shutdown()
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
--- a/internal/loop/poller.go
+++ b/internal/loop/poller.go
@@ -55,12 +55,12 @@
 }
 
 func event(ref slots.Ref, events uint32) *unix.EpollEvent {
-	return &unix.EpollEvent{Events: events, Fd: int32(ref.Index), Pad: int32(ref.Gen)}
+	return &unix.EpollEvent{Events: events, Fd: int32(ref.Index), Pad: int32(ref.Generation)}
 }
 
 // refOf reads an event's name.
 func refOf(e *unix.EpollEvent) slots.Ref {
-	return slots.Ref{Index: uint32(e.Fd), Gen: uint32(e.Pad)}
+	return slots.Ref{Index: uint32(e.Fd), Generation: uint32(e.Pad)}
 }
 
 // wait waits for events, for so many milliseconds at most, -1 for without end.
--- a/internal/pgwire/answer.go
+++ b/internal/pgwire/answer.go
@@ -31,24 +31,24 @@
 // Answer reads what a server says up to ReadyForQuery and holds it to the one form that is good: one row of
 // one column, complete, or an error. A server that sends anything else cannot be believed in the rest.
 type Answer struct {
-	place  place
-	began  bool
-	beside int    // bytes that were no row
-	Served bool   // a whole row came, with nothing against it
-	Code   string // an error's
+	place     place
+	began     bool
+	beside    int    // bytes that were no row
+	Succeeded bool   // a complete row was received, and no error
+	ErrorCode string // SQLSTATE of the error
 }
 
-// Welcome is the Answer that is due on a connection that has sent its startup message.
-func Welcome() Answer { return Answer{place: placeAuth} }
+// NewStartupAnswer returns the Answer that is expected on a connection that has sent its startup message.
+func NewStartupAnswer() Answer { return Answer{place: placeAuth} }
 
-// Reply is the Answer that is due to a statement.
-func Reply() Answer { return Answer{place: placeDescribe} }
+// NewQueryAnswer returns the Answer that is expected to a statement.
+func NewQueryAnswer() Answer { return Answer{place: placeDescribe} }
 
 // Done tells whether ReadyForQuery has come.
 func (a *Answer) Done() bool { return a.place == placeEnd }
 
-// Untouched tells whether no message has come.
-func (a *Answer) Untouched() bool { return !a.began }
+// Empty reports whether no message has been received yet.
+func (a *Answer) Empty() bool { return !a.began }
 
 // Next takes the answer's next message from r. What cannot become good is an error as soon as its first
 // bytes show it: the rest might never come.
@@ -90,7 +90,7 @@
 	case 'C':
 		return a.place == placeComplete
 	case 'Z':
-		return a.place == placeWelcome && a.Code == "" || a.place == placeReady
+		return a.place == placeWelcome && a.ErrorCode == "" || a.place == placeReady
 	}
 	return false
 }
@@ -134,31 +134,31 @@
 		good = len(m.Body) == 4 && binary.BigEndian.Uint32(m.Body) == 0
 		a.place = placeWelcome
 	case 'S':
-		_, _, err := Parameter(m.Body)
+		_, _, err := ParseParameter(m.Body)
 		good = err == nil
 	case 'K':
 		good = len(m.Body) >= 8
 	case 'N':
 		good = fields(m.Body)
 	case 'E':
-		a.Code = ErrorCode(m.Body)
-		if good = fields(m.Body) && len(a.Code) == 5; a.place != placeWelcome && a.place != placeAuth {
+		a.ErrorCode = ErrorCode(m.Body)
+		if good = fields(m.Body) && len(a.ErrorCode) == 5; a.place != placeWelcome && a.place != placeAuth {
 			a.place = placeReady
 		}
 	case 'T':
 		good = oneColumn(m.Body)
 		a.place = placeData
 	case 'D':
-		_, err := Column(m.Body)
+		_, err := ParseColumn(m.Body)
 		good = err == nil
 		a.place = placeComplete
 	case 'C':
-		_, err := Text(m.Body)
+		_, err := ParseText(m.Body)
 		good = err == nil
 		a.place = placeReady
 	case 'Z':
 		if good = string(m.Body) == "I"; good {
-			a.Served = a.place == placeReady && a.Code == ""
+			a.Succeeded = a.place == placeReady && a.ErrorCode == ""
 			a.place = placeEnd
 		}
 	}
--- a/internal/pgwire/answer_test.go
+++ b/internal/pgwire/answer_test.go
@@ -29,7 +29,7 @@
 			want: "served", whole: true},
 		"no value":                {in: desc + "D\x00\x00\x00\x0a\x00\x01\xff\xff\xff\xff" + done + ready, want: "served"},
 		"not whole":               {in: row + done, want: "waits"},
-		"welcome":                 {in: string(AppendWelcome(nil)), want: "ready", welcome: true},
+		"welcome":                 {in: string(AppendStartupReply(nil)), want: "ready", welcome: true},
 		"welcome with its key":    {in: "R\x00\x00\x00\x08\x00\x00\x00\x00K\x00\x00\x00\x0c12345678" + ready, want: "ready", welcome: true},
 		"a password is wanted":    {in: "R\x00\x00\x00\x08\x00\x00\x00\x03", want: "bad", welcome: true},
 		"turned away":             {in: fail, want: "waits", welcome: true},
@@ -61,9 +61,9 @@
 				if c.whole {
 					piece = len(c.in)
 				}
-				r, a, got := NewReader(MaxMessage), Reply(), "waits"
+				r, a, got := NewReader(MaxMessage), NewQueryAnswer(), "waits"
 				if c.welcome {
-					a = Welcome()
+					a = NewStartupAnswer()
 				}
 				for in := c.in; in != "" && got == "waits"; in = in[piece:] {
 					r.Feed([]byte(in[:piece]))
@@ -77,10 +77,10 @@
 						}
 					}
 					switch {
-					case a.Done() && a.Served:
+					case a.Done() && a.Succeeded:
 						got = "served"
-					case a.Done() && a.Code != "":
-						got = "error " + a.Code
+					case a.Done() && a.ErrorCode != "":
+						got = "error " + a.ErrorCode
 					case a.Done():
 						got = "ready"
 					}
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -11,12 +11,12 @@
 
 // Request codes that stand where a startup message has its version.
 const (
-	Version       = 196608
-	codeCancel    = 80877102
-	codeSSL       = 80877103
-	codeGSSEnc    = 80877104
-	maxStartupLen = 10000 // PostgreSQL's own bound
-	keepBuf       = 1 << 14
+	ProtocolVersion = 196608
+	codeCancel      = 80877102
+	codeSSL         = 80877103
+	codeGSSEnc      = 80877104
+	maxStartupLen   = 10000 // PostgreSQL's own bound
+	keepBuf         = 1 << 14
 )
 
 // ErrMalformed is wrapped by every error about input that breaks the protocol.
@@ -60,11 +60,11 @@
 	r.buf = append(r.buf, b...)
 }
 
-// Pending is the number of bytes fed and not yet returned.
-func (r *Reader) Pending() int { return len(r.buf) - r.off }
+// Buffered returns the number of bytes that were fed and not yet returned.
+func (r *Reader) Buffered() int { return len(r.buf) - r.off }
 
-// Type is the type of the next message, known by its first byte.
-func (r *Reader) Type() (typ byte, ok bool) {
+// NextType returns the type of the next message, which is its first byte.
+func (r *Reader) NextType() (typ byte, ok bool) {
 	if r.off == len(r.buf) {
 		return 0, false
 	}
@@ -93,7 +93,7 @@
 		return StartupEncrypt, true, nil
 	case code == codeCancel:
 		return StartupCancel, true, nil
-	case code>>16 == Version>>16:
+	case code>>16 == ProtocolVersion>>16:
 		return StartupPlain, true, nil
 	}
 	return 0, false, fmt.Errorf("%w: protocol version %d.%d", ErrMalformed, code>>16, code&0xffff)
@@ -135,7 +135,7 @@
 func AppendStartup(dst []byte, user, database string) []byte {
 	at := len(dst)
 	dst = append(dst, 0, 0, 0, 0)
-	dst = binary.BigEndian.AppendUint32(dst, Version)
+	dst = binary.BigEndian.AppendUint32(dst, ProtocolVersion)
 	for _, s := range []string{"user", user, "database", database} {
 		dst = appendStr(dst, s)
 	}
@@ -151,8 +151,8 @@
 	return end(append(dst, 0), at)
 }
 
-// AppendWelcome appends what a server answers to a startup message, up to its ReadyForQuery.
-func AppendWelcome(dst []byte) []byte {
+// AppendStartupReply appends a server's answer to a startup message, up to its ReadyForQuery.
+func AppendStartupReply(dst []byte) []byte {
 	dst, at := begin(dst, 'R')
 	dst = end(append(dst, 0, 0, 0, 0), at)
 	for _, p := range [][2]string{{"server_version", "15.0"}, {"server_encoding", "UTF8"},
@@ -228,8 +228,8 @@
 	return ""
 }
 
-// Parameter reads the body of a ParameterStatus.
-func Parameter(body []byte) (name, value string, err error) {
+// ParseParameter parses the body of a ParameterStatus.
+func ParseParameter(body []byte) (name, value string, err error) {
 	n, rest, ok := bytes.Cut(body, []byte{0})
 	v, rest, ok2 := bytes.Cut(rest, []byte{0})
 	if !ok || !ok2 || len(rest) > 0 {
@@ -238,8 +238,8 @@
 	return string(n), string(v), nil
 }
 
-// Column reads the body of a DataRow of one column.
-func Column(body []byte) ([]byte, error) {
+// ParseColumn parses the body of a DataRow of one column.
+func ParseColumn(body []byte) ([]byte, error) {
 	if len(body) < 6 || binary.BigEndian.Uint16(body) != 1 {
 		return nil, fmt.Errorf("%w: DataRow is not of one column", ErrMalformed)
 	}
@@ -253,8 +253,8 @@
 	return body[6:], nil
 }
 
-// Text reads a body that is one zero-terminated string.
-func Text(body []byte) (string, error) {
+// ParseText parses a body that is one zero-terminated string.
+func ParseText(body []byte) (string, error) {
 	if i := bytes.IndexByte(body, 0); i >= 0 && i == len(body)-1 {
 		return string(body[:i]), nil
 	}
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -20,14 +20,14 @@
 		sent string // to a server, with 250 ms to wait
 		err  error
 	}{
-		"read": {read, Statement{ID: "9b1f", Class: "basket", WaitMs: 480, Group: 2, After: 1767225600123, Key: "7f3a"},
+		"read": {read, Statement{ID: "9b1f", Class: "basket", TimeoutMs: 480, Group: 2, AfterMs: 1767225600123, SessionKey: "7f3a"},
 			"SELECT content FROM kv WHERE name = '7f3a' /* id=9b1f,c=basket,d=250,cluster=2,after=1767225600123 */", nil},
 		"write, a retry, names not known": {
 			`INSERT INTO kv (name, content) VALUES ('7f3a', '\x2f2a') RETURNING content /* k=9,id=1,r=1,zone=x, d=20.5 ,c=order,cluster=0 */;`,
-			Statement{ID: "1", Class: "order", WaitMs: 20.5, Retry: true, Key: "7f3a", Writes: true},
+			Statement{ID: "1", Class: "order", TimeoutMs: 20.5, Retry: true, SessionKey: "7f3a", IsWrite: true},
 			`INSERT INTO kv (name, content) VALUES ('7f3a', '\x2f2a') RETURNING content /* k=9,id=1,r=1,zone=x, d=250 ,c=order,cluster=0 */;`, nil},
 		"a comment inside the value": {"SELECT '/* id=0,c=x,d=1 */' /* id=2,c=a,d=3,cluster=0 */",
-			Statement{ID: "2", Class: "a", WaitMs: 3, Key: "/* id=0,c=x,d=1 */"}, "SELECT '/* id=0,c=x,d=1 */' /* id=2,c=a,d=250,cluster=0 */", nil},
+			Statement{ID: "2", Class: "a", TimeoutMs: 3, SessionKey: "/* id=0,c=x,d=1 */"}, "SELECT '/* id=0,c=x,d=1 */' /* id=2,c=a,d=250,cluster=0 */", nil},
 		"no comment":         {"SELECT 1", Statement{}, "", ErrNoComment},
 		"comment not last":   {"SELECT /* id=2,c=a,d=3 */ 1", Statement{}, "", ErrNoComment},
 		"no wait":            {"SELECT 1 /* id=2,c=a */", Statement{}, "", ErrNoComment},
@@ -92,8 +92,8 @@
 				got = append(got, string(m.Type)+string(m.Body))
 			}
 		}
-		if diff := cmp.Diff(want, got); diff != "" || r.Pending() != 0 {
-			t.Fatalf("in pieces of %d, %d bytes left: %s", size, r.Pending(), diff)
+		if diff := cmp.Diff(want, got); diff != "" || r.Buffered() != 0 {
+			t.Fatalf("in pieces of %d, %d bytes left: %s", size, r.Buffered(), diff)
 		}
 	}
 }
@@ -132,11 +132,11 @@
 			t.Errorf("%q: code %q", bad, got)
 		}
 	}
-	if got, err := Column([]byte("\x00\x01\x00\x00\x00\x02ab")); string(got) != "ab" || err != nil {
+	if got, err := ParseColumn([]byte("\x00\x01\x00\x00\x00\x02ab")); string(got) != "ab" || err != nil {
 		t.Errorf("column %q, %v", got, err)
 	}
 	for _, bad := range []string{"", "\x00\x02\x00\x00\x00\x00", "\x00\x01\x00\x00\x00\x03ab"} {
-		if _, err := Column([]byte(bad)); !errors.Is(err, ErrMalformed) {
+		if _, err := ParseColumn([]byte(bad)); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
@@ -148,10 +148,10 @@
 	sql := strings.Clone("INSERT INTO kv (name, content) VALUES ('7f3a', '" + strings.Repeat("0", 1<<16) +
 		"') RETURNING content /* id=1,c=order,d=480,cluster=2 */")
 	s, err := ParseStatement(sql)
-	if err != nil || s.Key != "7f3a" {
-		t.Fatalf("key %q, error %v", s.Key, err)
+	if err != nil || s.SessionKey != "7f3a" {
+		t.Fatalf("key %q, error %v", s.SessionKey, err)
 	}
-	from, key := uintptr(unsafe.Pointer(unsafe.StringData(sql))), uintptr(unsafe.Pointer(unsafe.StringData(s.Key)))
+	from, key := uintptr(unsafe.Pointer(unsafe.StringData(sql))), uintptr(unsafe.Pointer(unsafe.StringData(s.SessionKey)))
 	if key >= from && key < from+uintptr(len(sql)) {
 		t.Error("the key lies within the statement's text")
 	}
--- a/internal/pgwire/statement.go
+++ b/internal/pgwire/statement.go
@@ -21,14 +21,14 @@
 
 // Statement is a client's statement with what its comment says.
 type Statement struct {
-	ID     string
-	Class  string
-	WaitMs float64 // d: how long the client waits, from when it sent the request
-	Group  int     // cluster
-	After  int64   // Unix ms of the session's last commit, 0 for none
-	Retry  bool
-	Key    string // the first quoted value, which names the session where there are any
-	Writes bool   // it changes data, by its first word
+	ID         string
+	Class      string
+	TimeoutMs  float64 // key d: how long the client waits after it has sent the request
+	Group      int     // cluster
+	AfterMs    int64   // key after: Unix time of the session's last commit in milliseconds, 0 for none
+	Retry      bool
+	SessionKey string // the first quoted value, which identifies the session if the application has sessions
+	IsWrite    bool   // the statement changes data, judged by its first word
 
 	head, tail string // the statement up to the value of d, and from its end on
 }
@@ -45,7 +45,7 @@
 	switch strings.ToUpper(word) {
 	case "SELECT":
 	case "INSERT", "UPDATE", "DELETE":
-		s.Writes = true
+		s.IsWrite = true
 	default:
 		return Statement{}, ErrStatement
 	}
@@ -78,13 +78,13 @@
 		case "d":
 			valAt += strings.Index(raw, val)
 			s.head, s.tail = sql[:valAt], sql[valAt+len(val):]
-			if s.WaitMs, err = strconv.ParseFloat(val, 64); err == nil && !(s.WaitMs > 0 && s.WaitMs <= maxWaitMs) {
+			if s.TimeoutMs, err = strconv.ParseFloat(val, 64); err == nil && !(s.TimeoutMs > 0 && s.TimeoutMs <= maxWaitMs) {
 				err = strconv.ErrRange
 			}
 		case "cluster":
 			s.Group, err = strconv.Atoi(val)
 		case "after":
-			if s.After, err = strconv.ParseInt(val, 10, 64); err == nil && s.After < 0 {
+			if s.AfterMs, err = strconv.ParseInt(val, 10, 64); err == nil && s.AfterMs < 0 {
 				err = strconv.ErrRange
 			}
 		case "r":
@@ -102,7 +102,7 @@
 	}
 	if _, rest, ok := strings.Cut(body[:from], "'"); ok {
 		key, _, _ := strings.Cut(rest, "'")
-		s.Key = strings.Clone(key) // it outlives the statement, which may be large, where sessions are remembered
+		s.SessionKey = strings.Clone(key) // it outlives the statement, which may be large, where sessions are remembered
 	}
 	return s, nil
 }
--- a/internal/slots/slots.go
+++ b/internal/slots/slots.go
@@ -3,7 +3,7 @@
 package slots
 
 // Ref names one tenancy of a slot. The zero Ref names none.
-type Ref struct{ Index, Gen uint32 }
+type Ref struct{ Index, Generation uint32 }
 
 type slot[T any] struct {
 	gen   uint32
@@ -31,20 +31,20 @@
 	s.gen++
 	s.inUse, s.value = true, v
 	t.used++
-	return Ref{Index: i, Gen: s.gen}
+	return Ref{Index: i, Generation: s.gen}
 }
 
 // Get returns the value filed under r, and false if that tenancy is over.
 func (t *Table[T]) Get(r Ref) (T, bool) {
-	if int(r.Index) >= len(t.slots) || t.slots[r.Index].gen != r.Gen || !t.slots[r.Index].inUse {
+	if int(r.Index) >= len(t.slots) || t.slots[r.Index].gen != r.Generation || !t.slots[r.Index].inUse {
 		var none T
 		return none, false
 	}
 	return t.slots[r.Index].value, true
 }
 
-// Drop ends a tenancy; one that is over already is left alone.
-func (t *Table[T]) Drop(r Ref) {
+// Delete removes the value that r refers to. It does nothing if that value has been removed before.
+func (t *Table[T]) Delete(r Ref) {
 	if _, ok := t.Get(r); !ok {
 		return
 	}
@@ -62,7 +62,7 @@
 func (t *Table[T]) Each(f func(Ref, T)) {
 	for i := range t.slots {
 		if s := &t.slots[i]; s.inUse {
-			f(Ref{Index: uint32(i), Gen: s.gen}, s.value)
+			f(Ref{Index: uint32(i), Generation: s.gen}, s.value)
 		}
 	}
 }
--- a/internal/slots/slots_test.go
+++ b/internal/slots/slots_test.go
@@ -6,8 +6,8 @@
 func TestLateRefFindsNothing(t *testing.T) {
 	var tab Table[string]
 	old := tab.Put("old")
-	tab.Drop(old)
-	tab.Drop(old)
+	tab.Delete(old)
+	tab.Delete(old)
 	next := tab.Put("next")
 	if next.Index != old.Index {
 		t.Fatalf("the slot was not used again: %v, %v", old, next)
@@ -15,7 +15,7 @@
 	if v, ok := tab.Get(old); ok {
 		t.Errorf("the old ref finds %q", v)
 	}
-	tab.Drop(old)
+	tab.Delete(old)
 	if v, ok := tab.Get(next); !ok || v != "next" || tab.Len() != 1 {
 		t.Errorf("got %q, %v, %d in use", v, ok, tab.Len())
 	}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -64,54 +64,54 @@
 func Settings(m map[string]string) (beechgrade.Settings, time.Duration, error) {
 	p := &pairs{m: m}
 	s := beechgrade.Settings{
-		Siblings:       int(p.dur("siblings")),
-		Zone:           int(p.dur("my_zone")),
-		Tick:           p.dur("tick_ns"),
-		OverShareWorth: p.float("over_share_worth"),
-		AskList:        m["membership_mode"] == "ask",
-		BehindWait:     p.dur("family_info.holds_for_ns"),
-		KeptTokens:     m["family_info.tokens"] == "kept",
-		ListShowsRole:  m["family_info.shows_role"] == "trailing" || m["family_info.shows_role"] == "static",
-		ListRoleLive:   m["family_info.shows_role"] == "trailing",
-		SizesLive:      m["weights"] == "live",
-		MayCancel:      p.flag("allowed.may_cancel"),
-		MayDuplicate:   p.flag("allowed.may_duplicate"),
-		MayProbe:       p.flag("allowed.probes"),
-		MaxRetryAfter:  p.dur("allowed.max_retry_after_ns"),
-		MaxAttempts:    int(p.dur("allowed.max_attempts")),
-		DrainGrace:     p.dur("invariants.drain_grace_ns"),
-		DrainOnly:      p.flag("invariants.soft_removal"),
-		FallMultiple:   p.float("invariants.fall_multiple"),
-		FallSpan:       p.dur("invariants.tip_after_ns"),
-		ColdFrom:       p.float("invariants.cold_from"),
-		ColdTime:       p.dur("invariants.cold_ns"),
-		PriceCross:     p.float("prices.cross_zone"),
-		PriceProbe:     p.float("prices.probe"),
-		ReportsOnSend:  m["telemetry.source"] == "answers",
+		RouterCount:      int(p.dur("siblings")),
+		Zone:             int(p.dur("my_zone")),
+		Tick:             p.dur("tick_ns"),
+		OverShareFactor:  p.float("over_share_worth"),
+		SubscribeList:    m["membership_mode"] == "ask",
+		LagWaitTime:      p.dur("family_info.holds_for_ns"),
+		TrackCommits:     m["family_info.tokens"] == "kept",
+		ListShowsRole:    m["family_info.shows_role"] == "trailing" || m["family_info.shows_role"] == "static",
+		ListRoleUpdates:  m["family_info.shows_role"] == "trailing",
+		WeightTracksLoad: m["weights"] == "live",
+		MayCancel:        p.flag("allowed.may_cancel"),
+		MayDuplicate:     p.flag("allowed.may_duplicate"),
+		MayProbe:         p.flag("allowed.probes"),
+		MaxRetryAfter:    p.dur("allowed.max_retry_after_ns"),
+		MaxAttempts:      int(p.dur("allowed.max_attempts")),
+		DrainGrace:       p.dur("invariants.drain_grace_ns"),
+		SoftRemoval:      p.flag("invariants.soft_removal"),
+		OverloadMultiple: p.float("invariants.fall_multiple"),
+		OverloadTime:     p.dur("invariants.tip_after_ns"),
+		ColdCapacity:     p.float("invariants.cold_from"),
+		ColdDuration:     p.dur("invariants.cold_ns"),
+		CrossZoneCost:    p.float("prices.cross_zone"),
+		ProbeCost:        p.float("prices.probe"),
+		ReportsInAnswers: m["telemetry.source"] == "answers",
 	}
 	if !p.flag("allowed.retry_after") {
 		s.MaxRetryAfter = 0
 	}
 	switch m["family_info.when_behind"] {
 	case "bounce":
-		s.Behind = beechgrade.BehindRefuses
+		s.LagPolicy = beechgrade.LagRejects
 	case "await":
-		s.Behind = beechgrade.BehindWaits
+		s.LagPolicy = beechgrade.LagWaits
 	}
 	reads, bounds := p.list("family_info.class_read"), p.list("family_info.staleness_bound_ns")
 	for i := range p.count("request_classes.count") {
 		at := "request_classes." + strconv.Itoa(i) + "."
 		c := beechgrade.Class{
-			Aim:       p.dur(at + "slo_ns"),
-			Deadline:  p.dur(at + "deadline_ns"),
-			Worth:     p.float(at + "points"),
-			LateWorth: p.float(at + "late_worth"),
-			KeyWindow: p.dur(at + "key_ttl_ns"),
+			LatencyTarget: p.dur(at + "slo_ns"),
+			Deadline:      p.dur(at + "deadline_ns"),
+			Value:         p.float(at + "points"),
+			LateFactor:    p.float(at + "late_worth"),
+			DedupWindow:   p.dur(at + "key_ttl_ns"),
 		}
 		switch m[at+"effect"] {
 		case "retryable":
 		case "dedup":
-			c.Effect = beechgrade.Keyed
+			c.Effect = beechgrade.Deduplicated
 		default: // an effect not known here is treated as the most fragile
 			c.Effect = beechgrade.Unsafe
 		}
@@ -139,7 +139,7 @@
 			if err != nil {
 				return s, 0, fmt.Errorf("staleness bound: %w", err)
 			}
-			c.Bound = time.Duration(b)
+			c.StalenessBound = time.Duration(b)
 		}
 		s.Classes = append(s.Classes, c)
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -27,7 +27,7 @@
 
 // Item is one event of a batch for one instance.
 type Item struct {
-	Front    int
+	Instance int
 	Kind     Kind
 	Seed     uint64
 	Settings beechgrade.Settings
@@ -137,7 +137,7 @@
 }
 
 func (d *Decoder) item(b *Batch, f *fields) error {
-	it := Item{Front: -1, Kind: Deliver}
+	it := Item{Instance: -1, Kind: Deliver}
 	switch f.name {
 	case "CENSUS":
 		return d.census(f)
@@ -147,7 +147,7 @@
 		for f.next() {
 			switch f.key {
 			case "front":
-				it.Front = f.integer()
+				it.Instance = f.integer()
 			case "prng":
 				it.Seed = uint64(f.int64())
 			default:
@@ -160,23 +160,23 @@
 			if it.Settings, zero, err = Settings(pairs); err != nil {
 				return fmt.Errorf("PROVISION: %w", err)
 			}
-			d.zero[it.Front] = zero
+			d.zero[it.Instance] = zero
 		}
 	case "CRASH_NOW":
 		it.Kind = Stop
 		for f.next() {
 			if f.key == "front" {
-				it.Front = f.integer()
+				it.Instance = f.integer()
 			}
 		}
-		delete(d.zero, it.Front)
+		delete(d.zero, it.Instance)
 	case "MEMBERS":
 		l := &beechgrade.List{}
 		slot, how := -1, ""
 		for f.next() {
 			switch f.key {
 			case "front":
-				it.Front = f.integer()
+				it.Instance = f.integer()
 			case "how":
 				how = string(f.val)
 			case "slot":
@@ -196,15 +196,15 @@
 		}
 		it.Event = l
 	case "ASK":
-		it.Front, it.Event = decodeRequest(f)
+		it.Instance, it.Event = decodeRequest(f)
 	case "SETTLED":
-		it.Front, it.Event = d.decodeOutcome(f)
+		it.Instance, it.Event = d.decodeOutcome(f)
 	case "EXPIRED":
-		e := &beechgrade.Expired{}
+		e := &beechgrade.Abandoned{}
 		for f.next() {
 			switch f.key {
 			case "front":
-				it.Front = f.integer()
+				it.Instance = f.integer()
 			case "request_id":
 				e.ID = beechgrade.RequestID(f.val)
 			}
@@ -215,7 +215,7 @@
 		for f.next() {
 			switch f.key {
 			case "front":
-				it.Front = f.integer()
+				it.Instance = f.integer()
 			case "tag":
 				e.Tag = f.int64()
 			}
@@ -227,21 +227,21 @@
 		for f.next() {
 			switch f.key {
 			case "front":
-				it.Front = f.integer()
+				it.Instance = f.integer()
 			case "store":
-				e.Store = beechgrade.StoreID(f.val)
+				e.Server = beechgrade.ServerID(f.val)
 			case "disposition":
 				e.Result = result(f.val)
 			case "server_stats":
 				stats = f.val
 			}
 		}
-		e.Load = report(stats, d.zero[it.Front], f)
+		e.Report = report(stats, d.zero[it.Instance], f)
 		it.Event = e
 	default:
 		return nil // a message that this adapter has no use for
 	}
-	if f.err == nil && it.Front < 0 {
+	if f.err == nil && it.Instance < 0 {
 		return fmt.Errorf("%s: front missing or negative", f.name)
 	}
 	if f.err == nil {
@@ -262,13 +262,13 @@
 		case "party":
 			e.Tenant = f.integer()
 		case "due_ns":
-			e.Due = f.duration()
+			e.Deadline = f.duration()
 		case "shard":
 			e.Group = f.integer()
 		case "session":
 			e.Session = string(f.val)
 		case "token_ms":
-			e.SinceOwn = time.Duration(f.float() * float64(time.Millisecond))
+			e.SinceCommit = time.Duration(f.float() * float64(time.Millisecond))
 		case "expected_ns":
 			work = f.duration()
 		case "options":
@@ -280,7 +280,7 @@
 	if options&1 != 0 {
 		e.Work = work
 	}
-	e.Repeat = options&2 != 0
+	e.Retry = options&2 != 0
 	if e.ID == "" {
 		f.fail("request_id")
 	}
@@ -304,7 +304,7 @@
 		case "no_more":
 			e.Final = f.boolean()
 		case "store":
-			e.Store = beechgrade.StoreID(f.val)
+			e.Server = beechgrade.ServerID(f.val)
 		case "note":
 			note = f.int64()
 		case "server_stats":
@@ -314,14 +314,14 @@
 	zero := d.zero[front]
 	switch note & 3 {
 	case 1:
-		e.Told.Role = beechgrade.RolePrimary
+		e.Report.Role = beechgrade.RolePrimary
 	case 2:
-		e.Told.Role = beechgrade.RoleReplica
+		e.Report.Role = beechgrade.RoleReplica
 	}
 	if note >= 4 {
-		e.Told.Position, e.Told.HasPosition = zero+time.Duration(note/4)*time.Millisecond, true
+		e.Report.Position, e.Report.HasPosition = zero+time.Duration(note/4)*time.Millisecond, true
 	}
-	e.Load = report(stats, zero, f)
+	e.LoadReport = report(stats, zero, f)
 	return front, e
 }
 
@@ -351,11 +351,11 @@
 		if g.name != "ENTRY" {
 			return fmt.Errorf("want ENTRY, got %q", g.name)
 		}
-		e := beechgrade.Entry{Size: 1}
+		e := beechgrade.Entry{Weight: 1}
 		for g.next() {
 			switch g.key {
 			case "online_since_ns":
-				e.Started = g.duration()
+				e.StartedAt = g.duration()
 			case "shard":
 				e.Group = g.integer()
 			case "shape":
@@ -367,11 +367,11 @@
 				}
 				e.State = s
 			case "weight":
-				e.Size = g.float()
+				e.Weight = g.float()
 			case "hall":
 				e.Zone = g.integer()
 			case "store":
-				e.Store = beechgrade.StoreID(g.val)
+				e.Server = beechgrade.ServerID(g.val)
 			case "is_primary":
 				e.Primary = g.float() == 1
 			}
@@ -379,7 +379,7 @@
 		if g.err != nil {
 			return g.err
 		}
-		if e.Store == "" {
+		if e.Server == "" {
 			return errors.New("ENTRY: store missing")
 		}
 		list = append(list, e)
@@ -393,8 +393,8 @@
 	"restored": beechgrade.ListRestored, "unavailable": beechgrade.ListFailed,
 }
 
-var states = map[string]beechgrade.StoreState{
-	"SERVING": beechgrade.Serving, "DRAINING": beechgrade.Draining, "DELETED": beechgrade.Gone,
+var states = map[string]beechgrade.ServerState{
+	"SERVING": beechgrade.Serving, "DRAINING": beechgrade.Draining, "DELETED": beechgrade.Removed,
 }
 
 // result reads a disposition. A word not known here becomes an error that may have run: the reading
@@ -404,7 +404,7 @@
 	case "done":
 		return beechgrade.OK
 	case "busy":
-		return beechgrade.Full
+		return beechgrade.Overloaded
 	case "etimedout":
 		return beechgrade.TimedOut
 	case "econnrefused":
@@ -416,7 +416,7 @@
 	case "skipped":
 		return beechgrade.Skipped
 	case "enoent":
-		return beechgrade.Missed
+		return beechgrade.Misdirected
 	}
 	return beechgrade.Failed
 }
@@ -442,7 +442,7 @@
 				r.Role = beechgrade.RolePrimary
 			}
 		case "busy_reqs":
-			r.Held, r.HasHeld = f.parse(val), true
+			r.InFlight, r.HasInFlight = f.parse(val), true
 		}
 	}
 	return r
@@ -520,8 +520,8 @@
 // Reset empties the reply.
 func (r *Reply) Reset() { r.buf = r.buf[:0] }
 
-// Fault reports that an instance's decision code failed.
-func (r *Reply) Fault(front int, text string) { r.text("BAIL_OUT", front, text) }
+// AddFault reports that an instance's decision code failed.
+func (r *Reply) AddFault(front int, text string) { r.text("BAIL_OUT", front, text) }
 
 // Add encodes one action of an instance.
 func (r *Reply) Add(front int, a *beechgrade.Action) {
@@ -529,7 +529,7 @@
 	case beechgrade.Send:
 		r.begin("PASS_ON", front)
 		r.str("request_id", string(a.ID))
-		r.str("store", string(a.Store))
+		r.str("store", string(a.Server))
 		r.num("timeout_ns", int64(a.Wait))
 	case beechgrade.Cancel:
 		r.begin("REVOKE", front)
@@ -544,7 +544,7 @@
 		r.str("request_id", string(a.ID))
 	case beechgrade.Probe:
 		r.begin("PROBE", front)
-		r.str("store", string(a.Store))
+		r.str("store", string(a.Server))
 	case beechgrade.SetTimer:
 		r.begin("WAKE_AT", front)
 		r.int("instant_ns", int64(a.At))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -41,9 +41,9 @@
 		t.Fatalf("now %v, %d items", b.Now, len(b.Items))
 	}
 	s := b.Items[0].Settings
-	if b.Items[0].Seed != 17446744073709551615 || s.Siblings != 2 || !s.MayCancel || !s.AskList ||
-		s.Behind != beechgrade.BehindWaits || len(s.Classes) != 2 || s.Classes[0].Bound != 300 || s.Classes[0].Aim != 7 ||
-		s.Classes[1].Effect != beechgrade.Keyed || s.Classes[1].Scope != beechgrade.ScopeGroup ||
+	if b.Items[0].Seed != 17446744073709551615 || s.RouterCount != 2 || !s.MayCancel || !s.SubscribeList ||
+		s.LagPolicy != beechgrade.LagWaits || len(s.Classes) != 2 || s.Classes[0].StalenessBound != 300 || s.Classes[0].LatencyTarget != 7 ||
+		s.Classes[1].Effect != beechgrade.Deduplicated || s.Classes[1].Scope != beechgrade.ScopeGroup ||
 		s.Classes[1].Read != beechgrade.Write || s.Tenants[0].Allowance != 1.5 {
 		t.Errorf("settings: %+v", s)
 	}
@@ -51,23 +51,23 @@
 	ms := time.Millisecond
 	want := []beechgrade.Event{
 		&beechgrade.List{Kind: beechgrade.ListRestored, Entries: []beechgrade.Entry{
-			{Store: "h:1", Group: 11, Kind: 1, Zone: 2, Size: 2.5, Primary: true},
-			{Store: "h:2", Group: 11, Size: 1, State: beechgrade.Draining, Started: 61}}},
-		&beechgrade.List{Entries: []beechgrade.Entry{{Store: "h:3", Group: 4, Size: 1, State: beechgrade.Gone}}},
+			{Server: "h:1", Group: 11, Kind: 1, Zone: 2, Weight: 2.5, Primary: true},
+			{Server: "h:2", Group: 11, Weight: 1, State: beechgrade.Draining, StartedAt: 61}}},
+		&beechgrade.List{Entries: []beechgrade.Entry{{Server: "h:3", Group: 4, Weight: 1, State: beechgrade.Removed}}},
 		&beechgrade.List{Kind: beechgrade.ListFailed},
-		&beechgrade.Request{ID: "ab", Class: 1, Group: 11, Tenant: 1, Due: 99, Session: "c.k",
-			SinceOwn: 412500 * time.Microsecond, Work: 12, Repeat: true},
-		&beechgrade.Outcome{ID: "ab", Attempt: 2, Store: "h:1", Final: true,
-			Told: beechgrade.Report{Role: beechgrade.RolePrimary, Position: zero + 10*ms, HasPosition: true}},
-		&beechgrade.Outcome{ID: "ab", Store: "h:1", Result: beechgrade.Failed,
-			Told: beechgrade.Report{Role: beechgrade.RoleReplica},
-			Load: beechgrade.Report{Role: beechgrade.RolePrimary, Position: zero + 20*ms, HasPosition: true, Held: 7, HasHeld: true}},
-		&beechgrade.ProbeResult{Store: "h:1", Result: beechgrade.Unreachable},
-		&beechgrade.Expired{ID: "ab"},
+		&beechgrade.Request{ID: "ab", Class: 1, Group: 11, Tenant: 1, Deadline: 99, Session: "c.k",
+			SinceCommit: 412500 * time.Microsecond, Work: 12, Retry: true},
+		&beechgrade.Outcome{ID: "ab", Attempt: 2, Server: "h:1", Final: true,
+			Report: beechgrade.Report{Role: beechgrade.RolePrimary, Position: zero + 10*ms, HasPosition: true}},
+		&beechgrade.Outcome{ID: "ab", Server: "h:1", Result: beechgrade.Failed,
+			Report:     beechgrade.Report{Role: beechgrade.RoleReplica},
+			LoadReport: beechgrade.Report{Role: beechgrade.RolePrimary, Position: zero + 20*ms, HasPosition: true, InFlight: 7, HasInFlight: true}},
+		&beechgrade.ProbeResult{Server: "h:1", Result: beechgrade.Unreachable},
+		&beechgrade.Abandoned{ID: "ab"},
 		&beechgrade.Timer{Tag: -77},
 	}
 	for i, w := range want {
-		if got := b.Items[i+1]; got.Front != 3 || !reflect.DeepEqual(got.Event, w) {
+		if got := b.Items[i+1]; got.Instance != 3 || !reflect.DeepEqual(got.Event, w) {
 			t.Errorf("event %d:\n got %+v\nwant %+v", i, got.Event, w)
 		}
 	}
@@ -81,9 +81,9 @@
 
 func TestEachDisposition(t *testing.T) {
 	for word, want := range map[string]beechgrade.Result{
-		"done": beechgrade.OK, "err": beechgrade.Failed, "busy": beechgrade.Full, "etimedout": beechgrade.TimedOut,
+		"done": beechgrade.OK, "err": beechgrade.Failed, "busy": beechgrade.Overloaded, "etimedout": beechgrade.TimedOut,
 		"econnrefused": beechgrade.Unreachable, "econnreset": beechgrade.Reset, "ecanceled": beechgrade.Cancelled,
-		"skipped": beechgrade.Skipped, "enoent": beechgrade.Missed, "unheard of": beechgrade.Failed,
+		"skipped": beechgrade.Skipped, "enoent": beechgrade.Misdirected, "unheard of": beechgrade.Failed,
 	} {
 		if got := result([]byte(word)); got != want {
 			t.Errorf("%s: %d, want %d", word, got, want)
@@ -128,15 +128,15 @@
 func TestEncode(t *testing.T) {
 	var r Reply
 	for _, a := range []beechgrade.Action{
-		{Kind: beechgrade.Send, ID: "ab", Store: "h:1", Wait: 80}, {Kind: beechgrade.Send, ID: "ab", Store: "h:1"},
+		{Kind: beechgrade.Send, ID: "ab", Server: "h:1", Wait: 80}, {Kind: beechgrade.Send, ID: "ab", Server: "h:1"},
 		{Kind: beechgrade.Cancel, ID: "ab", Attempt: 2}, {Kind: beechgrade.Refuse, ID: "ab", Wait: 9},
-		{Kind: beechgrade.Fail, ID: "ab"}, {Kind: beechgrade.Probe, Store: "h:1"},
+		{Kind: beechgrade.Fail, ID: "ab"}, {Kind: beechgrade.Probe, Server: "h:1"},
 		{Kind: beechgrade.SetTimer, At: 12, Tag: 7}, {Kind: beechgrade.Subscribe}, {Kind: beechgrade.FetchList},
 		{Kind: beechgrade.Log, Text: "a\tb\nc"}, {Kind: 99},
 	} {
 		r.Add(3, &a)
 	}
-	r.Fault(3, "why")
+	r.AddFault(3, "why")
 	want := "PASS_ON\tfront=3\trequest_id=ab\tstore=h:1\ttimeout_ns=80\nPASS_ON\tfront=3\trequest_id=ab\tstore=h:1\n" +
 		"REVOKE\tfront=3\trequest_id=ab\ttry=2\nNOT_NOW\tfront=3\trequest_id=ab\tpause_ns=9\nERROR\tfront=3\trequest_id=ab\n" +
 		"PROBE\tfront=3\tstore=h:1\nWAKE_AT\tfront=3\tinstant_ns=12\ttag=7\nWATCH\tfront=3\tenable=1\nLIST_ALL\tfront=3\n" +
--- a/router.go
+++ b/router.go
@@ -16,8 +16,8 @@
 	stall        = 100 * time.Millisecond // a timer this late: we stood still; a failure: the way may be it
 	freeze       = time.Second            // shares hold this long after a pick (DESIGN's start value)
 	startWork    = 0.2                    // unheard class: work as part of its aim
-	startRate    = 1.0                    // unheard kind of store: the unit of work
-	startWidth   = 4.0                    // unheard kind of store: requests served at full rate each
+	startRate    = 1.0                    // unheard kind of server: the unit of work
+	startWidth   = 4.0                    // unheard kind of server: requests served at full rate each
 	workGain     = 0.02                   // weight of one answer in a class's average: memory of 50
 	hintMost     = 10.0                   // most that a work hint counts against its class's average
 	rateMemory   = 4.0                    // answers' worth of trust in the old rate at each refresh
@@ -25,7 +25,7 @@
 	rateStep     = 2.0                    // most that a rate moves in one refresh, as a factor
 	minLeft      = 0.3                    // least remaining work, as part of the average
 	crowdShare   = 0.25                   // full: an average request takes this part of the least aim
-	fewRouters   = 8                      // up to so many, each knows most of what a store holds
+	fewRouters   = 8                      // up to so many, each knows most of what a server holds
 	hearFrom     = 1.5                    // answer after this many times its work: met others' load
 	tenantDepth  = 4.0                    // requests: least depth of a tenant's bucket
 	crowdOwn     = 0.8                    // ...or, none of ours there, this part of the time left
@@ -34,7 +34,7 @@
 	silentTurns  = 3.0                    // ...and this many mean request times
 	flowMemory   = 5 * time.Second        // memory of this router's own flow of requests
 	pickMemory   = 4.0                    // memory of where a group's requests went, in rounds of its members
-	askMost      = 2                      // stores asked for one read: the best two tell most of it
+	askMost      = 2                      // servers asked for one read: the best two tell most of it
 	askWait      = 4                      // ticks that a read waits for what it asked
 	othersLike   = 0.5                    // a guess counts at most as this part of our own, for each other
 	trialJobs    = 3                      // requests at once on trial: one may be lost and prove nothing
@@ -45,7 +45,7 @@
 	longRead     = 2.0                    // times the average work: a read so long holds up the log
 	rankCost     = 4.0                    // times its own cost that such a read costs more at the last member
 	repeatValue  = 0.2                    // a repeat's aim runs from its first try: mostly gone
-	probeDown    = 200 * time.Millisecond // between probes of a store thought down
+	probeDown    = 200 * time.Millisecond // between probes of a server thought down
 	probeSoon    = 4                      // probes that may fail before the pause grows
 	probeMost    = 4                      // doublings of that while probes go on failing
 	failMemory   = 4 * time.Second        // fading of that chance
@@ -57,7 +57,7 @@
 	watchPause   = time.Second            // ...doubled up to this while it fails within as long
 	outage       = time.Second            // refusing for this long means a restarted process
 	sessionsKept = 20000                  // sessions in a generation of remembered commits
-	goneKeep     = 30 * time.Second       // before a vanished store is forgotten
+	goneKeep     = 30 * time.Second       // before a vanished server is forgotten
 	widthMemory  = 300.0                  // answers: memory of the time that they take by our requests there
 	widthLeast   = 60.0                   // fewer prove nothing
 	widthTight   = 1.3                    // times as long as at the least load: there were too many
@@ -69,16 +69,16 @@
 
 // New makes a router. The seed is its only source of randomness.
 func New(set Settings, seed uint64) *Router {
-	r := &Router{set: set, rng: rand.New(rand.NewPCG(seed, 0)), stores: map[StoreID]*store{},
+	r := &Router{set: set, rng: rand.New(rand.NewPCG(seed, 0)), servers: map[ServerID]*server{},
 		groups: map[int]*group{}, reqs: map[RequestID]*request{}, forgotten: never,
 		pools: map[int]float64{}, widths: map[int]*width{}, ways: map[int]way{}, wakeAt: never}
-	r.set.Siblings = max(1, set.Siblings)
+	r.set.RouterCount = max(1, set.RouterCount)
 	r.set.MaxAttempts = max(1, set.MaxAttempts)
 	for _, c := range set.Classes {
-		r.classes = append(r.classes, class{Class: c, work: max(1e-3, startWork*c.Aim.Seconds())})
+		r.classes = append(r.classes, class{Class: c, work: max(1e-3, startWork*c.LatencyTarget.Seconds())})
 		r.work += r.classes[len(r.classes)-1].work / float64(len(set.Classes))
-		if c.Aim > 0 && (r.leastAim == 0 || c.Aim < r.leastAim) {
-			r.leastAim = c.Aim
+		if c.LatencyTarget > 0 && (r.leastAim == 0 || c.LatencyTarget < r.leastAim) {
+			r.leastAim = c.LatencyTarget
 		}
 	}
 	r.seekEach = max(r.leastAim/2, beat)
@@ -91,12 +91,13 @@
 	r.now, r.out = max(now, r.now), out
 	if r.refreshAt == 0 {
 		r.flowAt, r.refreshAt, r.rewatchAt = r.now, r.now+refreshEvery, math.MaxInt64
-		if r.set.AskList {
+		if r.set.SubscribeList {
 			r.rewatch(0)
 		}
 	}
 	if r.wakeAt != never && r.now-r.wakeAt > stall {
-		// Our own standstill must not count against stores. One that died meanwhile is silent a little later.
+		// Our own standstill must not count against servers. One that died meanwhile is silent a little
+		// later.
 		r.wakeAt = r.now
 		r.blurOpen()
 	}
@@ -105,7 +106,7 @@
 		r.onRequest(e)
 	case *Outcome:
 		r.onOutcome(e)
-	case *Expired:
+	case *Abandoned:
 		if q := r.reqs[e.ID]; q != nil {
 			r.forget(q)
 		}
@@ -131,43 +132,43 @@
 
 func (r *Router) act(a Action) { r.out = append(r.out, a) }
 
-// warmth is the part of its capacity that a store can be counted on for.
-func (r *Router) warmth(s *store) float64 {
+// warmth is the part of its capacity that a server can be counted on for.
+func (r *Router) warmth(s *server) float64 {
 	age := r.now - s.coldFrom
-	if r.set.ColdTime <= 0 || age >= r.set.ColdTime {
+	if r.set.ColdDuration <= 0 || age >= r.set.ColdDuration {
 		return 1
 	}
-	return r.set.ColdFrom + (1-r.set.ColdFrom)*max(0, age.Seconds())/r.set.ColdTime.Seconds()
+	return r.set.ColdCapacity + (1-r.set.ColdCapacity)*max(0, age.Seconds())/r.set.ColdDuration.Seconds()
 }
 
-// base is a store's rate when warm: its kind's, taught by all answers, times its own; one hears little.
-func (r *Router) base(s *store) float64 { return r.pools[s.entry.Kind] * s.rel }
+// base is a server's rate when warm: its kind's, taught by all answers, times its own; one hears little.
+func (r *Router) base(s *server) float64 { return r.pools[s.entry.Kind] * s.rel }
 
-func (r *Router) turn(s *store) Time { return seconds(r.work / r.rateOf(s)) }
+func (r *Router) turn(s *server) Time { return seconds(r.work / r.rateOf(s)) }
 
 func seconds(x float64) Time { return Time(x * float64(time.Second)) }
 
-// rateOf is the rate for one request alone now. A cold store's old good rate would win every pick otherwise.
-func (r *Router) rateOf(s *store) float64 { return r.base(s) * r.warmth(s) }
+// rateOf is the rate for one request alone now. A cold server's old good rate would win every pick otherwise.
+func (r *Router) rateOf(s *server) float64 { return r.base(s) * r.warmth(s) }
 
 // fading is what is left, from 1 to 0, of something last heard of then.
 func (r *Router) fading(at Time, memory time.Duration) float64 {
 	return max(0, 1-(r.now-at).Seconds()/memory.Seconds())
 }
 
-// load is the number of requests at a store, ours but for those thought lost, and others': what was told of
-// them fades towards a guess, as many routers that each see an idle store would crowd it together. A guess
+// load is the number of requests at a server, ours but for those thought lost, and others': what was told of
+// them fades towards a guess, as many routers that each see an idle server would crowd it together. A guess
 // may steer, but not refuse: as evidence, it counts no more than if each other router had as many there.
-func (r *Router) load(s *store) (likely, evident float64) {
+func (r *Router) load(s *server) (likely, evident float64) {
 	own := float64(len(s.open) - s.lost)
 	fresh := r.fading(s.heardAt, 2*refreshEvery)
 	guess := (1 - fresh) * r.guess(s)
 	own += s.told * fresh
-	return own + guess, own + min(guess, othersLike*float64((len(s.open)-s.lost)*(r.set.Siblings-1)))
+	return own + guess, own + min(guess, othersLike*float64((len(s.open)-s.lost)*(r.set.RouterCount-1)))
 }
 
-// advance moves a store's virtual service up to now; call it before its load changes.
-func (r *Router) advance(s *store) {
+// advance moves a server's virtual service up to now; call it before its load changes.
+func (r *Router) advance(s *server) {
 	if dt := (r.now - s.serviceAt).Seconds(); dt > 0 {
 		n, _ := r.load(s)
 		s.service += dt * r.share(s, n) * r.warmth(s)
@@ -175,17 +176,17 @@
 	s.serviceAt = r.now
 }
 
-// guess is what the other routers are taken to have in flight at a store: each as much as this one, on
+// guess is what the other routers are taken to have in flight at a server: each as much as this one, on
 // average. One that seldom has a request out goes round the members at the pace of their rates.
-func (r *Router) guess(s *store) float64 {
-	n := float64(r.set.Siblings-1) * r.perGroup(r.flow) * s.part * r.work / r.rateOf(s)
+func (r *Router) guess(s *server) float64 {
+	n := float64(r.set.RouterCount-1) * r.perGroup(r.flow) * s.part * r.work / r.rateOf(s)
 	use := min(0.95, n/r.width(s))
 	return n / (1 - use*use) // and what waits there, which grows with use
 }
 
 // cost is equation 2 of the paper: the read's own time at its max-min fair share plus the slowdown of this
 // router's requests there, each by its worth against the read's: so a primary full of writes is spared.
-func (r *Router) cost(s *store, q *request) (cost, left float64) {
+func (r *Router) cost(s *server, q *request) (cost, left float64) {
 	r.advance(s)
 	rate := r.rateOf(s)
 	n, _ := r.load(s)
@@ -200,24 +201,25 @@
 		rest := max(w-(s.service-a.service)*rate, minLeft*w)
 		cost += (rest/left - rest/now) * a.req.value / q.value
 	}
-	// A failed answer comes quickly and leaves its store idle: without its chance a failing store wins picks.
+	// A failed answer comes quickly and leaves its server idle: without its chance a failing server
+	// wins picks.
 	cost /= 1 - r.failing(s)
 	if s.entry.Zone != r.set.Zone {
-		cost += r.set.PriceCross * q.class.Aim.Seconds() // in time: a worth is an aim
+		cost += r.set.CrossZoneCost * q.class.LatencyTarget.Seconds() // in time: a worth is an aim
 	}
 	cost += r.way(s)
 	return cost, left
 }
 
-// way is the time that probes into the store's zone took lately. A slow way must not be taken for slow or
-// dead stores: they are well in their own zone, and a primary there still takes writes.
-func (r *Router) way(s *store) float64 {
+// way is the time that probes into the server's zone took lately. A slow way must not be taken for slow or
+// dead servers: they are well in their own zone, and a primary there still takes writes.
+func (r *Router) way(s *server) float64 {
 	return r.ways[s.entry.Zone].slow * r.fading(r.ways[s.entry.Zone].at, wayMemory)
 }
 
-// room tells whether a store can take one more: without making requests there too slow for the least aim, or,
-// where none is ours, this one. What finds no room waits here, for whichever store frees first.
-func (r *Router) room(s *store, q *request) bool {
+// room tells whether a server can take one more: without making requests there too slow for the least aim,
+// or, where none is ours, this one. What finds no room waits here, for whichever server frees first.
+func (r *Router) room(s *server, q *request) bool {
 	if r.now < s.fullUntil || s.health == onTrial && len(s.open)-s.lost >= trialJobs {
 		return false
 	}
@@ -231,7 +233,8 @@
 	}
 	rate := r.rateOf(s) * r.share(s, n)
 	return len(s.open) == 0 && q.work()/rate <= crowdOwn*(q.aim-r.now).Seconds() &&
-		(q.primaryOnly() || fewRouters >= r.set.Siblings || r.work/rate <= crowdRead*r.leastAim.Seconds()) ||
+		(q.primaryOnly() || fewRouters >= r.set.RouterCount ||
+			r.work/rate <= crowdRead*r.leastAim.Seconds()) ||
 		r.work/rate <= crowdShare*r.leastAim.Seconds()
 }
 
@@ -240,12 +243,12 @@
 
 // spare tells whether a primary has more than the writes and fresh reads of all routers need, judged by this
 // router's own. Reads can go elsewhere, they cannot; few routers see enough of them to spare it by cost.
-func (r *Router) spare(s *store) bool {
-	if fewRouters >= r.set.Siblings {
+func (r *Router) spare(s *server) bool {
+	if fewRouters >= r.set.RouterCount {
 		return true
 	}
 	_, n := r.load(s)
-	return n+1+float64(r.set.Siblings)*r.perGroup(r.musts)/r.rateOf(s) <= r.width(s)*r.warmth(s)
+	return n+1+float64(r.set.RouterCount)*r.perGroup(r.musts)/r.rateOf(s) <= r.width(s)*r.warmth(s)
 }
 
 // work is the request's expected work: its class's average, by its hint where it came with one.
@@ -255,12 +258,12 @@
 // Where that is less than a request, chance lets through what all together may send of what they are asked
 // for: a bucket of each would hold credit where nothing is asked, and writes would wait at an idle cold
 // primary. Each member takes a part of its own of the requests: after a release all are cold at once.
-func (r *Router) coldRoom(s *store, q *request) bool {
-	if r.set.FallMultiple <= 0 || r.set.FallSpan <= 0 {
+func (r *Router) coldRoom(s *server, q *request) bool {
+	if r.set.OverloadMultiple <= 0 || r.set.OverloadTime <= 0 {
 		return true
 	}
-	part := coldMargin * r.set.FallMultiple * r.rateOf(s) * startWidth / float64(r.set.Siblings)
-	depth := part/2*r.set.FallSpan.Seconds() - q.work()
+	part := coldMargin * r.set.OverloadMultiple * r.rateOf(s) * startWidth / float64(r.set.RouterCount)
+	depth := part/2*r.set.OverloadTime.Seconds() - q.work()
 	if depth < 0 {
 		place := math.Phi * float64(slices.Index(q.group.members, s))
 		asked, musts := r.perGroup(r.flow)*r.work, r.perGroup(r.musts)
@@ -276,11 +279,11 @@
 	return s.coldSpent <= depth
 }
 
-// qualifies tells whether a store's data is known to be new enough, and whether it may be: by pace or time.
-func (r *Router) qualifies(s *store, q *request) (known, likely bool) {
+// qualifies tells whether a server's data is known to be new enough, and whether it may be: by pace or time.
+func (r *Router) qualifies(s *server, q *request) (known, likely bool) {
 	need := q.need
 	if q.class.Read == ReadBounded {
-		need = r.now - q.class.Bound
+		need = r.now - q.class.StalenessBound
 	}
 	if need == never || s == r.primary(q.group) || s.position >= need {
 		return true, true
@@ -290,8 +293,8 @@
 }
 
 // primary is the group's primary by the latest evidence, or nil while none is known.
-func (r *Router) primary(g *group) *store {
-	var best *store
+func (r *Router) primary(g *group) *server {
+	var best *server
 	for _, s := range g.members {
 		if s.role == RolePrimary && (best == nil || s.roleAt > best.roleAt) {
 			best = s
@@ -302,13 +305,13 @@
 
 func (q *request) primaryOnly() bool { return q.class.Read == Write || q.class.Read == ReadFresh }
 
-func (s *store) usable() bool { return s.listed() && s.health != down }
+func (s *server) usable() bool { return s.listed() && s.health != down }
 
-// listed tells whether the list lets it be used: where only draining binds, a store that vanished may be.
-func (s *store) listed() bool { return !s.draining && (s.gone == 0 || s.soft) }
+// listed tells whether the list lets it be used: where only draining binds, a server that vanished may be.
+func (s *server) listed() bool { return !s.draining && (s.gone == 0 || s.soft) }
 
-// choose finds the store for a request, or nil if it has to wait.
-func (r *Router) choose(q *request) *store {
+// choose finds the server for a request, or nil if it has to wait.
+func (r *Router) choose(q *request) *server {
 	p := r.primary(q.group)
 	if q.primaryOnly() {
 		if p != nil && p.usable() && r.room(p, q) && !r.ask(q, p) {
@@ -316,7 +319,7 @@
 		}
 		return nil
 	}
-	var best, next, sure *store
+	var best, next, sure *server
 	least, second, known := math.Inf(1), math.Inf(1), math.Inf(1)
 	for _, s := range q.group.members {
 		if !s.usable() || len(q.tries) < len(q.group.members) && q.tried(s) || !r.room(s, q) ||
@@ -331,10 +334,10 @@
 		if q.class.Read == ReadAny && q.class.work > longRead*r.work {
 			c *= 1 + rankCost*r.rank(s)
 		}
-		if !is { // a wrong guess costs a turn; where stores do not check, they are asked first
+		if !is { // a wrong guess costs a turn; where servers do not check, they are asked first
 			c += (2 * r.set.Tick).Seconds() + r.price(q)
 		}
-		if (is || r.set.Behind != BehindAnswers) && c < known {
+		if (is || r.set.LagPolicy != LagServesStale) && c < known {
 			sure, known = s, c
 		}
 		if c < least {
@@ -355,7 +358,7 @@
 
 // rank orders a group's members, from 0 to 1, alike for all routers, the primary last. Long reads that take
 // any data hold up the log where they run: they fill member after member, so that the others keep up.
-func (r *Router) rank(s *store) float64 {
+func (r *Router) rank(s *server) float64 {
 	before := 0
 	for _, o := range s.group.members {
 		if s == r.primary(s.group) || o.usable() && o.id < s.id {
@@ -365,15 +368,15 @@
 	return float64(before) / float64(len(s.group.members))
 }
 
-func (r *Router) price(q *request) float64 { return r.set.PriceProbe * q.class.Aim.Seconds() }
+func (r *Router) price(q *request) float64 { return r.set.ProbeCost * q.class.LatencyTarget.Seconds() }
 
-// ask probes a store for a request and tells whether to wait for that: because its position must be known, or
-// because what others seem to have waiting there costs more than a probe.
-func (r *Router) ask(q *request, s *store) bool {
+// ask probes a server for a request and tells whether to wait for that: because its position must be known,
+// or because what others seem to have waiting there costs more than a probe.
+func (r *Router) ask(q *request, s *server) bool {
 	is, _ := r.qualifies(s, q)
 	n, _ := r.load(s)
 	slow := q.work() / r.rateOf(s) * (1/r.share(s, n) - 1)
-	if (is || r.set.Behind != BehindAnswers) &&
+	if (is || r.set.LagPolicy != LagServesStale) &&
 		(!r.loadTold || r.now-s.heardAt <= r.leastAim/4 || slow <= r.price(q)) || !r.set.MayProbe {
 		return false
 	}
@@ -392,27 +395,28 @@
 func (r *Router) spent(q *request) bool {
 	return len(q.tries) >= r.set.MaxAttempts || q.open > 0 && !r.set.MayDuplicate ||
 		q.maybe && (q.class.Effect == Unsafe ||
-			q.class.Effect == Keyed && r.now+r.set.Tick >= q.maybeAt+q.class.KeyWindow)
+			q.class.Effect == Deduplicated && r.now+r.set.Tick >= q.maybeAt+q.class.DedupWindow)
 }
 
-func (q *request) mayHaveRun(a *attempt, s *store) {
+func (q *request) mayHaveRun(a *attempt, s *server) {
 	if !q.maybe || a.sent < q.maybeAt {
 		q.maybe, q.maybeAt, q.maybeZone = true, a.sent, s.entry.Zone
 	}
 }
 
-// place sends a request if a store can take it now.
+// place sends a request if a server can take it now.
 func (r *Router) place(q *request) bool {
 	if r.spent(q) {
 		return false
 	}
 	s := r.choose(q)
 	if s == nil ||
-		q.maybe && q.class.Effect == Keyed && q.class.Scope == ScopeZone && s.entry.Zone != q.maybeZone {
+		q.maybe && q.class.Effect == Deduplicated && q.class.Scope == ScopeZone &&
+			s.entry.Zone != q.maybeZone {
 		return false // only the first's zone drops repeats
 	}
 	_, left := r.cost(s, q)
-	a := &attempt{req: q, store: s, no: len(q.tries), sent: r.now, service: s.service}
+	a := &attempt{req: q, server: s, no: len(q.tries), sent: r.now, service: s.service}
 	a.met = len(s.open) - s.lost + 1
 	r.putIn(s, a)
 	s.frozenShare, s.frozenUntil = left, r.now+freeze
@@ -421,19 +425,19 @@
 		o.part -= o.part / (pickMemory * float64(len(s.group.members)))
 	}
 	s.part += 1 / (pickMemory * float64(len(s.group.members)))
-	r.act(Action{Kind: Send, ID: q.id, Store: s.id, By: r.sendBy(q, s)})
+	r.act(Action{Kind: Send, ID: q.id, Server: s.id, SendDeadline: r.sendBy(q, s)})
 	return true
 }
 
 // sendBy is until when the request may be sent there. A connection may be long in coming up, and what makes
 // the send right now, the age of the data or the window of repeats, runs on meanwhile.
-func (r *Router) sendBy(q *request, s *store) Time {
+func (r *Router) sendBy(q *request, s *server) Time {
 	by := Time(math.MaxInt64)
-	if q.class.Read == ReadBounded && r.set.Behind == BehindAnswers && s != r.primary(q.group) {
-		by = s.position + q.class.Bound
+	if q.class.Read == ReadBounded && r.set.LagPolicy == LagServesStale && s != r.primary(q.group) {
+		by = s.position + q.class.StalenessBound
 	}
-	if q.maybe && q.class.Effect == Keyed {
-		by = min(by, q.maybeAt+q.class.KeyWindow-r.set.Tick)
+	if q.maybe && q.class.Effect == Deduplicated {
+		by = min(by, q.maybeAt+q.class.DedupWindow-r.set.Tick)
 	}
 	return by
 }
@@ -442,42 +446,44 @@
 	if r.reqs[e.ID] != nil {
 		return
 	}
-	if e.Class < 0 || e.Class >= len(r.classes) || e.Due <= r.now {
+	if e.Class < 0 || e.Class >= len(r.classes) || e.Deadline <= r.now {
 		r.act(Action{Kind: Refuse, ID: e.ID, Text: "no time left"})
 		return
 	}
 	c := &r.classes[e.Class]
-	if r.groups[e.Group] == nil && len(r.stores) > 0 { // nor does it leave a trace
-		r.act(Action{Kind: Refuse, ID: e.ID, Wait: min(r.set.MaxRetryAfter, c.Aim), Text: "no such group"})
+	if r.groups[e.Group] == nil && len(r.servers) > 0 { // nor does it leave a trace
+		r.act(Action{Kind: Refuse, ID: e.ID, Wait: min(r.set.MaxRetryAfter, c.LatencyTarget),
+			Text: "no such group"})
 		return
 	}
-	q := &request{id: e.ID, class: c, group: r.groupOf(e.Group), arrived: r.now, due: e.Due,
-		aim: min(e.Due, r.now+c.Aim), need: never, session: e.Session, value: max(c.Worth, 1e-6), size: 1}
-	if q.last = q.aim; c.LateWorth > 0 {
+	q := &request{id: e.ID, class: c, group: r.groupOf(e.Group), arrived: r.now, due: e.Deadline,
+		aim: min(e.Deadline, r.now+c.LatencyTarget), need: never, session: e.Session,
+		value: max(c.Value, 1e-6), size: 1}
+	if q.last = q.aim; c.LateFactor > 0 {
 		q.last = q.due
 	}
 	if c.Read == ReadSession {
-		if r.set.KeptTokens {
+		if r.set.TrackCommits {
 			t, ok := r.commits[e.Session]
 			if q.need = t; !ok {
 				q.need = r.forgotten
 			}
-		} else if e.SinceOwn > 0 {
-			q.need = r.now - e.SinceOwn
+		} else if e.SinceCommit > 0 {
+			q.need = r.now - e.SinceCommit
 		}
 	}
 	if e.Tenant >= 0 && e.Tenant < len(r.tenants) && r.set.Tenants[e.Tenant].Allowance > 0 {
 		// This router's part of the tenant's share, as a bucket of a second or of some requests, for clumps.
-		t, rate := &r.tenants[e.Tenant], r.set.Tenants[e.Tenant].Allowance/float64(r.set.Siblings)
+		t, rate := &r.tenants[e.Tenant], r.set.Tenants[e.Tenant].Allowance/float64(r.set.RouterCount)
 		t.tokens = min(max(rate, tenantDepth), t.tokens+rate*(r.now-t.at).Seconds())
 		t.at = r.now
 		if t.tokens >= 1 {
 			t.tokens--
 		} else {
-			q.value = max(q.value*r.set.OverShareWorth, 1e-6)
+			q.value = max(q.value*r.set.OverShareFactor, 1e-6)
 		}
 	}
-	if e.Repeat {
+	if e.Retry {
 		q.value *= repeatValue
 	}
 	if hint := e.Work.Seconds(); hint > 0 { // it tells how this request compares with its class
@@ -511,7 +517,7 @@
 // urgency orders held requests: worth for each unit of work, less once only late worth is left.
 func (r *Router) urgency(q *request) float64 {
 	if r.now > q.aim {
-		return q.value * q.class.LateWorth / q.work()
+		return q.value * q.class.LateFactor / q.work()
 	}
 	return q.value / q.work()
 }
@@ -541,7 +547,7 @@
 	g.held = append(kept, g.held...)
 }
 
-// soonest is the time that an answer takes where it comes soonest, as loaded as that store is.
+// soonest is the time that an answer takes where it comes soonest, as loaded as that server is.
 func (r *Router) soonest(q *request) Time {
 	if c := q.class; c.soonAt != r.now || c.soonFor != q.group {
 		best := never
@@ -560,15 +566,16 @@
 // finish gives the final answer: refused where trying again is harmless, failed where it may not be.
 func (r *Router) finish(q *request, why string) {
 	ran := q.maybe || q.open > 0
-	if q.class.Effect == Safe || !ran || q.class.Effect == Keyed && q.class.Scope == ScopeAll {
-		r.act(Action{Kind: Refuse, ID: q.id, Wait: min(r.set.MaxRetryAfter, q.class.Aim), Text: why})
+	if q.class.Effect == Safe || !ran || q.class.Effect == Deduplicated && q.class.Scope == ScopeAll {
+		r.act(Action{Kind: Refuse, ID: q.id, Wait: min(r.set.MaxRetryAfter, q.class.LatencyTarget),
+			Text: why})
 	} else {
 		r.act(Action{Kind: Fail, ID: q.id, Text: why})
 	}
 	r.forget(q)
 }
 
-// forget drops a request. Its open attempts are called off: what still waits at a store is spared.
+// forget drops a request. Its open attempts are called off: what still waits at a server is spared.
 func (r *Router) forget(q *request) {
 	q.finished = true
 	delete(r.reqs, q.id)
@@ -582,7 +589,7 @@
 }
 
 func (r *Router) onOutcome(e *Outcome) {
-	s := r.stores[e.Store]
+	s := r.servers[e.Server]
 	if s == nil {
 		return
 	}
@@ -594,8 +601,8 @@
 	q := a.req
 	r.countLost(s, a, e.Result)
 	q.reached = q.reached || e.Result != Unreachable && e.Result != Skipped
-	r.learn(s, e.Told, r.now)
-	r.learn(s, e.Load, e.Load.Position)
+	r.learn(s, e.Report, r.now)
+	r.learn(s, e.LoadReport, e.LoadReport.Position)
 	switch e.Result {
 	case OK:
 		c := q.class
@@ -621,29 +628,29 @@
 			o.passed++
 		}
 		r.alive(s, a)
-		if q.class.Read == Write && r.set.KeptTokens {
-			r.remember(q.session, e.Told)
+		if q.class.Read == Write && r.set.TrackCommits {
+			r.remember(q.session, e.Report)
 		}
-	case Missed:
+	case Misdirected:
 		r.alive(s, a)
-		if q.primaryOnly() && e.Told.Role != RolePrimary {
+		if q.primaryOnly() && e.Report.Role != RolePrimary {
 			s.role, s.roleAt = RoleReplica, r.now
 		} else {
 			s.pace /= 2 // it is further behind than guessed
 		}
-	case Full, Unreachable, Failed, Reset:
+	case Overloaded, Unreachable, Failed, Reset:
 		// No proof that it is down: it costs more for a while, and after a second failure is left for a turn.
 		if e.Result == Unreachable && !r.wayTook(s, r.now-a.sent) && r.now-a.sent < stall {
 			r.refused(s)
 		} else if e.Result == Unreachable { // not refused at once: a probe tells whether it lives
 			r.probe(s, probeDown)
 		}
-		if e.Result == Full {
+		if e.Result == Overloaded {
 			r.alive(s, a)
-			r.loaded(s, 2*r.width(s)*q.class.Aim.Seconds()*r.rateOf(s)/q.work())
+			r.loaded(s, 2*r.width(s)*q.class.LatencyTarget.Seconds()*r.rateOf(s)/q.work())
 		}
 		s.fails, s.failedAt = (r.failing(s)+1)/2, r.now
-		if e.Result == Full || e.Result == Failed && s.fails > 0.5 {
+		if e.Result == Overloaded || e.Result == Failed && s.fails > 0.5 {
 			s.fullUntil = r.now + r.turn(s)
 		}
 	}
@@ -673,16 +680,16 @@
 		r.rewatch(pause)
 		return
 	}
-	named := map[StoreID]bool{}
+	named := map[ServerID]bool{}
 	for _, n := range e.Entries {
-		named[n.Store] = true
-		s := r.stores[n.Store]
+		named[n.Server] = true
+		s := r.servers[n.Server]
 		if s == nil {
-			if n.State == Gone {
+			if n.State == Removed {
 				continue
 			}
-			s = r.newStore(n.Store, r.groupOf(n.Group))
-			s.soft, s.part = r.set.DrainOnly, r.rng.Float64() // each goes round from a place of its own
+			s = r.newServer(n.Server, r.groupOf(n.Group))
+			s.soft, s.part = r.set.SoftRemoval, r.rng.Float64() // each goes round from a place of its own
 			if r.listed {
 				s.part = 0
 				if r.set.MayProbe {
@@ -693,13 +700,13 @@
 				}
 			}
 		}
-		if n.Started > 0 && n.Started > s.entry.Started {
-			s.coldFrom = max(s.coldFrom, n.Started)
+		if n.StartedAt > 0 && n.StartedAt > s.entry.StartedAt {
+			s.coldFrom = max(s.coldFrom, n.StartedAt)
 		}
 		if r.set.ListShowsRole && n.Primary && s.role == RoleUnknown {
 			s.role, s.roleAt = RolePrimary, never+1
 		}
-		if n.State == Gone { // what drained before stays barred by that
+		if n.State == Removed { // what drained before stays barred by that
 			s.gone = max(r.now, 1)
 			continue
 		}
@@ -722,8 +729,8 @@
 // rewatch subscribes after a pause and as much jitter, each router at a time of its own: the list answers one
 // after the other. One that is pushed comes from an agent of this router's own and binds once that has it.
 func (r *Router) rewatch(pause time.Duration) {
-	most, spread := watchMost, pause+watchEach*time.Duration(r.set.Siblings-1)
-	if !r.set.AskList {
+	most, spread := watchMost, pause+watchEach*time.Duration(r.set.RouterCount-1)
+	if !r.set.SubscribeList {
 		pause, most, spread = min(pause, 2*watchSoon), 4*watchSoon, pause
 	}
 	r.rewatchAt = r.now + pause + time.Duration(r.rng.Float64()*float64(min(spread, most-pause)))
@@ -734,7 +741,7 @@
 		r.refresh()
 	}
 	for _, g := range r.gorder {
-		if len(g.held) == 0 && !slices.ContainsFunc(g.members, (*store).isBusy) {
+		if len(g.held) == 0 && !slices.ContainsFunc(g.members, (*server).isBusy) {
 			continue
 		}
 		r.tend(g)
@@ -743,7 +750,7 @@
 	}
 }
 
-// rescue frees requests, none unsafe, from silent stores and from attempts mislaid, which had several times
+// rescue frees requests, none unsafe, from silent servers and from attempts mislaid, which had several times
 // their work while later ones were answered: by a second copy, else by calling the first off.
 func (r *Router) rescue(g *group) {
 	for _, s := range g.members {
@@ -772,7 +779,7 @@
 }
 
 // had is the service that an attempt has had, in times its expected work.
-func (r *Router) had(s *store, a *attempt) float64 {
+func (r *Router) had(s *server, a *attempt) float64 {
 	return (s.service - a.service) * r.base(s) / a.req.work()
 }
 
@@ -785,8 +792,8 @@
 	return min(lostAfter, max(lostLeast, -math.Log(r.losing)))
 }
 
-// refresh corrects rates from the last interval's answers: each kind's, then each store's. Requests out for
-// more than their work count, or a stopped store would keep its rate; not if overtaken.
+// refresh corrects rates from the last interval's answers: each kind's, then each server's. Requests out for
+// more than their work count, or a stopped server would keep its rate; not if overtaken.
 func (r *Router) refresh() {
 	r.refreshAt = r.now + refreshEvery
 	r.flowed(0, 0)
@@ -821,8 +828,8 @@
 	}
 	r.rescale()
 	r.widen()
-	// Stores that left, have not answered since for a while, and hold nothing of ours are forgotten.
-	r.order = slices.DeleteFunc(r.order, func(s *store) bool {
+	// Servers that left, have not answered since for a while, and hold nothing of ours are forgotten.
+	r.order = slices.DeleteFunc(r.order, func(s *server) bool {
 		if s.gone == 0 || r.now-max(s.gone, s.answered) < goneKeep || len(s.open) > 0 {
 			return false
 		}
@@ -832,7 +839,7 @@
 }
 
 // widen moves the widths towards where answers begin to come late, but never below where they start: slow
-// spells of a store look like crowding.
+// spells of a server look like crowding.
 func (r *Router) widen() {
 	for _, w := range r.widths { // each on its own: the order does not matter
 		least, to := 0.0, 0.0
