--- a/router_test.go
+++ b/router_test.go
@@ -33,16 +33,16 @@
 
 func testSettings() Settings {
 	return Settings{
-		Siblings: 1, Tick: 5 * ms, MayCancel: true, MayDuplicate: true, MayProbe: true,
-		MaxRetryAfter: time.Second, MaxAttempts: 6, DrainGrace: 500 * ms, FallMultiple: 3, FallSpan: time.Second,
-		ColdFrom: 0.2, ColdTime: 10 * time.Second, OverShareWorth: 0.1,
+		RouterCount: 1, Tick: 5 * ms, MayCancel: true, MayDuplicate: true, MayProbe: true,
+		MaxRetryAfter: time.Second, MaxAttempts: 6, DrainGrace: 500 * ms, OverloadMultiple: 3, OverloadTime: time.Second,
+		ColdCapacity: 0.2, ColdDuration: 10 * time.Second, OverShareFactor: 0.1,
 		Classes: []Class{
-			cBounded: {Aim: 400 * ms, Deadline: 2 * time.Second, Worth: 1, Read: ReadBounded, Bound: 300 * ms},
-			cSession: {Aim: 400 * ms, Deadline: 2 * time.Second, Worth: 1, Read: ReadSession},
-			cWrite: {Aim: 400 * ms, Deadline: 3 * time.Second, Worth: 4, LateWorth: 0.3, Read: Write, Effect: Keyed,
-				Scope: ScopeGroup, KeyWindow: 2 * time.Second},
-			cUnsafe: {Aim: 400 * ms, Deadline: 3 * time.Second, Worth: 4, LateWorth: 0.3, Read: Write, Effect: Unsafe},
-			cAny:    {Aim: 400 * ms, Deadline: 2 * time.Second, Worth: 1, Read: ReadAny},
+			cBounded: {LatencyTarget: 400 * ms, Deadline: 2 * time.Second, Value: 1, Read: ReadBounded, StalenessBound: 300 * ms},
+			cSession: {LatencyTarget: 400 * ms, Deadline: 2 * time.Second, Value: 1, Read: ReadSession},
+			cWrite: {LatencyTarget: 400 * ms, Deadline: 3 * time.Second, Value: 4, LateFactor: 0.3, Read: Write, Effect: Deduplicated,
+				Scope: ScopeGroup, DedupWindow: 2 * time.Second},
+			cUnsafe: {LatencyTarget: 400 * ms, Deadline: 3 * time.Second, Value: 4, LateFactor: 0.3, Read: Write, Effect: Unsafe},
+			cAny:    {LatencyTarget: 400 * ms, Deadline: 2 * time.Second, Value: 1, Read: ReadAny},
 		},
 	}
 }
@@ -61,7 +61,7 @@
 	if change != nil {
 		change(&set)
 	}
-	g := newRig(t, set, Entry{Store: "p", Size: 1}, Entry{Store: "a", Size: 1}, Entry{Store: "b", Size: 1})
+	g := newRig(t, set, Entry{Server: "p", Weight: 1}, Entry{Server: "a", Weight: 1}, Entry{Server: "b", Weight: 1})
 	g.report("p", RolePrimary, g.now)
 	g.report("a", RoleReplica, g.now)
 	g.report("b", RoleReplica, g.now)
@@ -73,16 +73,16 @@
 	return g.out
 }
 
-func (g *rig) report(s StoreID, role Role, at Time) []Action {
-	return g.do(&ProbeResult{Store: s, Load: Report{Role: role, Position: at, HasPosition: true}})
+func (g *rig) report(s ServerID, role Role, at Time) []Action {
+	return g.do(&ProbeResult{Server: s, Report: Report{Role: role, Position: at, HasPosition: true}})
 }
 
 func (g *rig) ask(id RequestID, class int) []Action {
-	return g.do(&Request{ID: id, Class: class, Due: g.now + g.r.classes[class].Deadline})
+	return g.do(&Request{ID: id, Class: class, Deadline: g.now + g.r.classes[class].Deadline})
 }
 
-func (g *rig) end(id RequestID, no int, s StoreID, res Result) []Action {
-	return g.do(&Outcome{ID: id, Attempt: no, Store: s, Result: res, Final: res == OK})
+func (g *rig) end(id RequestID, no int, s ServerID, res Result) []Action {
+	return g.do(&Outcome{ID: id, Attempt: no, Server: s, Result: res, Final: res == OK})
 }
 
 // pass lets time go by with beats and returns all that was done meanwhile.
@@ -104,10 +104,10 @@
 	return got
 }
 
-func (g *rig) wantSend(actions []Action, id RequestID, s StoreID) {
+func (g *rig) wantSend(actions []Action, id RequestID, s ServerID) {
 	g.t.Helper()
 	got := of(Send, actions)
-	if len(got) != 1 || got[0].ID != id || s != "" && got[0].Store != s {
+	if len(got) != 1 || got[0].ID != id || s != "" && got[0].Server != s {
 		g.t.Fatalf("want one send of %s to %q, got %+v", id, s, got)
 	}
 }
@@ -136,7 +136,7 @@
 		{4, 0.08/0.7347 + 4*(0.08/0.7347-0.08/0.8409)},
 	} {
 		g := trio(t, nil)
-		s := g.r.stores["a"]
+		s := g.r.servers["a"]
 		cl := &g.r.classes[cAny]
 		q := &request{class: cl, value: 1, size: 1}
 		for range c.inFlight {
@@ -151,7 +151,7 @@
 
 func TestCostCountsWorth(t *testing.T) {
 	g := trio(t, nil)
-	s := g.r.stores["p"]
+	s := g.r.servers["p"]
 	read := &request{class: &g.r.classes[cAny], value: 1, size: 1}
 	dear := &request{class: &g.r.classes[cAny], value: 4, size: 1}
 	for range 4 {
@@ -164,7 +164,7 @@
 
 func TestFreezeHoldsShares(t *testing.T) {
 	g := trio(t, nil)
-	s := g.r.stores["a"]
+	s := g.r.servers["a"]
 	for i := range 5 {
 		q := &request{id: RequestID(fmt.Sprint(i)), class: &g.r.classes[cAny], value: 1, size: 1}
 		s.open = append(s.open, &attempt{req: q})
@@ -185,16 +185,16 @@
 	}
 }
 
-func TestUnheardStoreTakesItsKindsRate(t *testing.T) {
-	g := newRig(t, testSettings(), Entry{Store: "a", Kind: 0}, Entry{Store: "b", Kind: 1}, Entry{Store: "c", Kind: 1},
-		Entry{Store: "d", Kind: 1, Group: 5})
-	if got := g.r.base(g.r.stores["a"]); got != startRate {
+func TestServerWithoutAnswersTakesItsKindsRate(t *testing.T) {
+	g := newRig(t, testSettings(), Entry{Server: "a", Kind: 0}, Entry{Server: "b", Kind: 1}, Entry{Server: "c", Kind: 1},
+		Entry{Server: "d", Kind: 1, Group: 5})
+	if got := g.r.base(g.r.servers["a"]); got != startRate {
 		t.Errorf("nothing heard: %v", got)
 	}
 	// b's answers take half the service that was expected, second after second.
 	for i := range 10 {
 		id := RequestID(fmt.Sprint("q", i))
-		b := g.r.stores["b"]
+		b := g.r.servers["b"]
 		q := &request{id: id, class: &g.r.classes[cAny], group: b.group, value: 1, size: 1, due: g.now + time.Second}
 		g.r.reqs[id] = q
 		a := &attempt{req: q, sent: g.now, service: b.service}
@@ -205,7 +205,7 @@
 		g.end(id, 0, "b", OK)
 		g.pass(refreshEvery)
 	}
-	a, b, c, d := g.r.base(g.r.stores["a"]), g.r.base(g.r.stores["b"]), g.r.base(g.r.stores["c"]), g.r.base(g.r.stores["d"])
+	a, b, c, d := g.r.base(g.r.servers["a"]), g.r.base(g.r.servers["b"]), g.r.base(g.r.servers["c"]), g.r.base(g.r.servers["d"])
 	if a != startRate || c <= 1.2 || d != c || b < c {
 		t.Errorf("rates %v %v %v %v: want the kind's to follow b, in every group, and no other kind's", a, b, c, d)
 	}
@@ -214,13 +214,13 @@
 // TestLeastCostDecides fails if reads do not spread to the least loaded qualifying member.
 func TestLeastCostDecides(t *testing.T) {
 	g := trio(t, nil)
-	g.r.stores["p"].rel, g.r.stores["a"].rel, g.r.stores["b"].rel = 0.5, 1, 2
+	g.r.servers["p"].rel, g.r.servers["a"].rel, g.r.servers["b"].rel = 0.5, 1, 2
 	g.wantSend(g.ask("1", cBounded), "1", "b")
 	for i := 2; i <= 4; i++ {
 		g.ask(RequestID(fmt.Sprint(i)), cBounded)
 	}
 	// b's requests would now slow each other; a still gives a whole share.
-	g.r.stores["b"].rel = 1
+	g.r.servers["b"].rel = 1
 	g.wantSend(g.ask("5", cBounded), "5", "a")
 }
 
@@ -229,7 +229,7 @@
 		age  time.Duration
 		want bool
 	}{{300 * ms, true}, {301 * ms, false}} {
-		g := newRig(t, testSettings(), Entry{Store: "a"})
+		g := newRig(t, testSettings(), Entry{Server: "a"})
 		g.report("a", RoleReplica, g.now-c.age)
 		if got := len(of(Send, g.ask("1", cBounded))) == 1; got != c.want {
 			t.Errorf("position %v old: sent %v, want %v", c.age, got, c.want)
@@ -240,21 +240,21 @@
 // TestSendIsRightForAWhile: what makes a send right now runs on while it waits for a connection, so it says until when: as long as
 // the data of a replica that would answer from any is new enough, and as long as repeats are dropped.
 func TestSendIsRightForAWhile(t *testing.T) {
-	for behind, want := range map[Behind]Time{BehindAnswers: start + 200*ms, BehindRefuses: math.MaxInt64, BehindWaits: math.MaxInt64} {
+	for behind, want := range map[LagPolicy]Time{LagServesStale: start + 200*ms, LagRejects: math.MaxInt64, LagWaits: math.MaxInt64} {
 		set := testSettings()
-		set.Behind = behind
-		g := newRig(t, set, Entry{Store: "a"})
+		set.LagPolicy = behind
+		g := newRig(t, set, Entry{Server: "a"})
 		g.report("a", RoleReplica, g.now-100*ms)
-		if got := of(Send, g.ask("1", cBounded)); len(got) != 1 || got[0].By != want {
+		if got := of(Send, g.ask("1", cBounded)); len(got) != 1 || got[0].SendDeadline != want {
 			t.Errorf("behind=%d: %+v, want it by %v", behind, got, want)
 		}
 	}
 	g := trio(t, nil)
-	if got := of(Send, g.ask("1", cWrite)); len(got) != 1 || got[0].By != math.MaxInt64 {
+	if got := of(Send, g.ask("1", cWrite)); len(got) != 1 || got[0].SendDeadline != math.MaxInt64 {
 		t.Errorf("a first send: %+v", got)
 	}
 	g.now += 500 * ms
-	if got := of(Send, g.end("1", 0, "p", Failed)); len(got) != 1 || got[0].By != start+1995*ms {
+	if got := of(Send, g.end("1", 0, "p", Failed)); len(got) != 1 || got[0].SendDeadline != start+1995*ms {
 		t.Errorf("a repeat: %+v", got)
 	}
 }
@@ -264,9 +264,9 @@
 		token time.Duration
 		want  bool
 	}{{0, true}, {100 * ms, true}, {99 * ms, false}} {
-		g := newRig(t, testSettings(), Entry{Store: "a"})
+		g := newRig(t, testSettings(), Entry{Server: "a"})
 		g.report("a", RoleReplica, g.now-100*ms)
-		got := g.do(&Request{ID: "1", Class: cSession, Due: g.now + time.Second, SinceOwn: c.token})
+		got := g.do(&Request{ID: "1", Class: cSession, Deadline: g.now + time.Second, SinceCommit: c.token})
 		if sent := len(of(Send, got)) == 1; sent != c.want {
 			t.Errorf("written %v ago: sent %v, want %v", c.token, sent, c.want)
 		}
@@ -274,20 +274,20 @@
 }
 
 func TestRememberedSessions(t *testing.T) {
-	g := trio(t, func(s *Settings) { s.KeptTokens = true })
-	g.do(&Request{ID: "w", Class: cWrite, Due: g.now + time.Second, Session: "s"})
+	g := trio(t, func(s *Settings) { s.TrackCommits = true })
+	g.do(&Request{ID: "w", Class: cWrite, Deadline: g.now + time.Second, Session: "s"})
 	g.now += 50 * ms
-	g.do(&Outcome{ID: "w", Store: "p", Final: true, Told: Report{Role: RolePrimary, Position: g.now, HasPosition: true}})
-	g.do(&Request{ID: "r", Class: cSession, Due: g.now + time.Second, Session: "s"})
+	g.do(&Outcome{ID: "w", Server: "p", Final: true, Report: Report{Role: RolePrimary, Position: g.now, HasPosition: true}})
+	g.do(&Request{ID: "r", Class: cSession, Deadline: g.now + time.Second, Session: "s"})
 	got := append(g.report("a", RoleReplica, g.now-51*ms), g.report("b", RoleReplica, g.now-51*ms)...)
 	g.wantSend(append(got, g.pass(2*beat)...), "r", "p")
 	// An answer whose commit cannot be read is as late as can be: a replica known up to just before it is not enough.
-	g.do(&Request{ID: "w2", Class: cWrite, Due: g.now + time.Second, Session: "s2"})
+	g.do(&Request{ID: "w2", Class: cWrite, Deadline: g.now + time.Second, Session: "s2"})
 	g.now += 50 * ms
-	g.do(&Outcome{ID: "w2", Store: "p", Final: true, Told: Report{Role: RolePrimary}})
+	g.do(&Outcome{ID: "w2", Server: "p", Final: true, Report: Report{Role: RolePrimary}})
 	g.report("a", RoleReplica, g.now-1*ms)
 	g.report("b", RoleReplica, g.now-1*ms)
-	got = g.do(&Request{ID: "r2", Class: cSession, Due: g.now + time.Second, Session: "s2"})
+	got = g.do(&Request{ID: "r2", Class: cSession, Deadline: g.now + time.Second, Session: "s2"})
 	g.wantSend(append(got, g.pass(2*beat)...), "r2", "p")
 	for i := range sessionsKept + 1 {
 		g.r.remember(fmt.Sprint(i), Report{Position: g.now, HasPosition: true})
@@ -304,12 +304,12 @@
 // TestStaleReplicaIsNeverGuessedWhereItWouldAnswer guards the stale rule.
 func TestStaleReplicaIsNeverGuessedWhereItWouldAnswer(t *testing.T) {
 	for _, c := range []struct {
-		behind Behind
+		behind LagPolicy
 		want   bool
-	}{{BehindAnswers, false}, {BehindRefuses, true}, {BehindWaits, true}} {
+	}{{LagServesStale, false}, {LagRejects, true}, {LagWaits, true}} {
 		set := testSettings()
-		set.Behind = c.behind
-		g := newRig(t, set, Entry{Store: "a"})
+		set.LagPolicy = c.behind
+		g := newRig(t, set, Entry{Server: "a"})
 		g.report("a", RoleReplica, g.now)
 		g.now += 350 * ms
 		if got := len(of(Send, g.ask("1", cBounded))) == 1; got != c.want {
@@ -321,32 +321,32 @@
 func TestPositionNeverGoesBackNorAhead(t *testing.T) {
 	g := trio(t, nil)
 	g.report("a", RoleReplica, g.now-time.Second)
-	if g.r.stores["a"].position != start {
+	if g.r.servers["a"].position != start {
 		t.Error("an older report took the position back")
 	}
 	g.report("a", RoleReplica, g.now+time.Hour)
-	if g.r.stores["a"].position != start {
+	if g.r.servers["a"].position != start {
 		t.Error("a position in the future was believed")
 	}
 }
 
 func TestDrainBindsFromTheBatchThatTells(t *testing.T) {
-	for _, state := range []StoreState{Draining, Gone} {
+	for _, state := range []ServerState{Draining, Removed} {
 		g := trio(t, nil)
-		g.do(&List{Kind: ListChanges, Entries: []Entry{{Store: "a", State: state}, {Store: "b", State: state}}})
+		g.do(&List{Kind: ListChanges, Entries: []Entry{{Server: "a", State: state}, {Server: "b", State: state}}})
 		for i := range 4 {
 			g.wantSend(g.ask(RequestID(fmt.Sprint(i)), cAny), RequestID(fmt.Sprint(i)), "p")
 		}
-		g.do(&List{Kind: ListChanges, Entries: []Entry{{Store: "p", State: state}}})
+		g.do(&List{Kind: ListChanges, Entries: []Entry{{Server: "p", State: state}}})
 		g.wantNone(Send, append(g.ask("w", cWrite), g.pass(100*ms)...))
 	}
 }
 
 func TestMissingFromAFullListIsGone(t *testing.T) {
 	for _, soft := range []bool{false, true} {
-		g := trio(t, func(s *Settings) { s.DrainOnly = soft })
-		g.do(&List{Kind: ListFull, Entries: []Entry{{Store: "b"}}})
-		if got := g.r.stores["a"].usable(); got != soft {
+		g := trio(t, func(s *Settings) { s.SoftRemoval = soft })
+		g.do(&List{Kind: ListFull, Entries: []Entry{{Server: "b"}}})
+		if got := g.r.servers["a"].usable(); got != soft {
 			t.Errorf("soft removal %v: usable %v", soft, got)
 		}
 	}
@@ -363,9 +363,9 @@
 		{TimedOut, again, again, fail},
 		{Reset, again, again, fail},
 		{Cancelled, again, again, fail},
-		{Full, again, again, again},
+		{Overloaded, again, again, again},
 		{Unreachable, again, again, again},
-		{Missed, again, again, again},
+		{Misdirected, again, again, again},
 	} {
 		for class, want := range map[int]string{cAny: c.safe, cWrite: c.keyed, cUnsafe: c.unsafe} {
 			g := trio(t, nil)
@@ -374,7 +374,7 @@
 				t.Fatalf("not sent")
 			}
 			g.now += 5 * ms
-			out := g.end("1", 0, first[0].Store, c.res)
+			out := g.end("1", 0, first[0].Server, c.res)
 			for range 40 { // help a primary that was doubted back
 				g.report("p", RolePrimary, g.now)
 				out = append(append(out, g.out...), g.pass(beat)...)
@@ -420,7 +420,7 @@
 	g := trio(t, nil)
 	g.ask("1", cWrite)
 	g.now += 100 * ms
-	g.r.bad(g.r.stores["p"])
+	g.r.bad(g.r.servers["p"])
 	g.wantNone(Send, g.end("1", 0, "p", Failed))
 	if got := finals(g.pass(1880 * ms)); len(got) != 0 {
 		t.Fatalf("inside the window: %+v", got)
@@ -432,15 +432,15 @@
 
 func TestNeverTwoInFlightWhereNotAllowed(t *testing.T) {
 	g := trio(t, func(s *Settings) { s.MayDuplicate = false })
-	first := of(Send, g.ask("1", cAny))[0].Store
-	g.r.bad(g.r.stores[first])
+	first := of(Send, g.ask("1", cAny))[0].Server
+	g.r.bad(g.r.servers[first])
 	out := g.pass(100 * ms)
 	g.wantNone(Send, out)
 	if len(of(Cancel, out)) != 1 {
 		t.Fatalf("want it called off first: %+v", out)
 	}
 	out = g.end("1", 0, first, Cancelled)
-	if got := of(Send, out); len(got) != 1 || got[0].Store == first {
+	if got := of(Send, out); len(got) != 1 || got[0].Server == first {
 		t.Fatalf("want it sent elsewhere: %+v", out)
 	}
 }
@@ -449,7 +449,7 @@
 func TestDeadlineAnswer(t *testing.T) {
 	for class, want := range map[int]ActionKind{cAny: Refuse, cUnsafe: Fail, cWrite: Fail} {
 		g := trio(t, nil)
-		g.do(&Request{ID: "1", Class: class, Due: g.now + 200*ms})
+		g.do(&Request{ID: "1", Class: class, Deadline: g.now + 200*ms})
 		out := g.pass(200 * ms)
 		if got := finals(out); len(got) != 1 || got[0].Kind != want {
 			t.Fatalf("class %d: %+v", class, got)
@@ -466,12 +466,12 @@
 	}
 }
 
-// TestColdBudget counts the work sent to a cold store within the rule's span.
+// TestColdBudget counts the work sent to a cold server within the rule's span.
 func TestColdBudget(t *testing.T) {
 	for _, siblings := range []int{1, 3} {
 		set := testSettings()
-		set.Siblings = siblings
-		g := newRig(t, set, Entry{Store: "a", Started: start})
+		set.RouterCount = siblings
+		g := newRig(t, set, Entry{Server: "a", StartedAt: start})
 		g.report("a", RoleReplica, g.now)
 		sent := 0
 		for i := range 200 {
@@ -479,13 +479,13 @@
 			for _, a := range append(g.ask(id, cAny), g.pass(5*ms)...) {
 				if a.Kind == Send {
 					sent++
-					g.end(a.ID, 0, "a", Full)
-					g.r.stores["a"].fullUntil = 0
+					g.end(a.ID, 0, "a", Overloaded)
+					g.r.servers["a"].fullUntil = 0
 				}
 			}
 		}
 		work := float64(sent) * g.r.classes[cAny].work
-		most := set.FallMultiple * 0.3 * startWidth * startRate / float64(siblings)
+		most := set.OverloadMultiple * 0.3 * startWidth * startRate / float64(siblings)
 		if sent == 0 || work > most {
 			t.Errorf("%d siblings: %d sends, %v of work, at most %v", siblings, sent, work, most)
 		}
@@ -494,12 +494,12 @@
 
 func TestReturnAfterAnOutageIsCold(t *testing.T) {
 	g := trio(t, nil)
-	s := of(Send, g.ask("1", cAny))[0].Store
+	s := of(Send, g.ask("1", cAny))[0].Server
 	g.end("1", 0, s, Unreachable)
-	g.do(&ProbeResult{Store: s, Result: Unreachable})
+	g.do(&ProbeResult{Server: s, Result: Unreachable})
 	g.now += outage + ms
 	g.report(s, RoleReplica, g.now)
-	if w := g.r.warmth(g.r.stores[s]); w > 0.3 {
+	if w := g.r.warmth(g.r.servers[s]); w > 0.3 {
 		t.Errorf("warmth %v after an outage", w)
 	}
 }
@@ -508,7 +508,7 @@
 func TestPrimaryChange(t *testing.T) {
 	g := trio(t, nil)
 	g.ask("0", cWrite)
-	g.do(&Outcome{ID: "0", Store: "p", Result: Missed, Told: Report{Role: RoleReplica}})
+	g.do(&Outcome{ID: "0", Server: "p", Result: Misdirected, Report: Report{Role: RoleReplica}})
 	var out []Action
 	for i := 1; i <= 3; i++ {
 		out = append(out, g.ask(RequestID(fmt.Sprint(i)), cUnsafe)...)
@@ -520,8 +520,8 @@
 	}
 	sent := map[RequestID]int{}
 	for _, a := range of(Send, append(g.report("a", RolePrimary, g.now), g.pass(50*ms)...)) {
-		if a.Store != "a" {
-			t.Errorf("sent to %s", a.Store)
+		if a.Server != "a" {
+			t.Errorf("sent to %s", a.Server)
 		}
 		sent[a.ID]++
 	}
@@ -537,44 +537,44 @@
 
 func TestDemotionInAnAnswerBinds(t *testing.T) {
 	g := trio(t, nil)
-	g.do(&Request{ID: "1", Class: cWrite, Due: g.now + time.Second})
+	g.do(&Request{ID: "1", Class: cWrite, Deadline: g.now + time.Second})
 	g.now += 20 * ms
-	g.do(&Outcome{ID: "1", Store: "p", Result: Missed, Told: Report{Role: RoleReplica}})
+	g.do(&Outcome{ID: "1", Server: "p", Result: Misdirected, Report: Report{Role: RoleReplica}})
 	g.report("p", RolePrimary, g.now-10*ms) // an older report must not undo it
 	if g.r.primary(g.r.groupOf(0)) != nil {
 		t.Error("an old report brought the demoted primary back")
 	}
 }
 
-// TestSilentStoreLosesReads: a store that answers probes but no requests is left alone.
-func TestSilentStoreLosesReads(t *testing.T) {
+// TestSilentStoreLosesReads: a server that answers probes but no requests is left alone.
+func TestSilentServerLosesReads(t *testing.T) {
 	g := trio(t, nil)
 	for _, s := range g.r.order {
 		s.rel = 4
 	}
-	s := of(Send, g.ask("1", cAny))[0].Store
+	s := of(Send, g.ask("1", cAny))[0].Server
 	var rescued bool
 	for range 100 {
 		for _, a := range g.pass(beat) {
-			rescued = rescued || a.Kind == Send && a.ID == "1" && a.Store != s
+			rescued = rescued || a.Kind == Send && a.ID == "1" && a.Server != s
 		}
-		if !g.r.stores[s].usable() {
+		if !g.r.servers[s].usable() {
 			break
 		}
 	}
 	if !rescued {
-		t.Error("the read was left at the silent store")
+		t.Error("the read was left at the silent server")
 	}
-	g.r.bad(g.r.stores[s])
+	g.r.bad(g.r.servers[s])
 	g.report(s, RoleReplica, g.now)
-	if g.r.stores[s].health != onTrial {
+	if g.r.servers[s].health != onTrial {
 		t.Error("an answered probe alone must not make it healthy")
 	}
 }
 
-// TestLostAttempts: one that later ones overtake is written off and sent again; the store stays in use.
+// TestLostAttempts: one that later ones overtake is written off and sent again; the server stays in use.
 func TestLostAttempts(t *testing.T) {
-	g := newRig(t, testSettings(), Entry{Store: "p"})
+	g := newRig(t, testSettings(), Entry{Server: "p"})
 	g.report("p", RolePrimary, g.now)
 	g.ask("stuck", cWrite)
 	var again bool
@@ -589,7 +589,7 @@
 	if !again {
 		t.Error("the lost attempt was never sent again")
 	}
-	if n := len(g.r.stores["p"].open) - g.r.stores["p"].lost; n > 1 {
+	if n := len(g.r.servers["p"].open) - g.r.servers["p"].lost; n > 1 {
 		t.Errorf("load %v: lost attempts still count", n)
 	}
 }
@@ -603,13 +603,13 @@
 		one := func(res Result) {
 			id := RequestID(fmt.Sprint("n", n))
 			n++
-			s := of(Send, g.ask(id, cAny))[0].Store
+			s := of(Send, g.ask(id, cAny))[0].Server
 			g.pass(40 * ms)
-			if st := g.r.stores[s]; res == Cancelled {
+			if st := g.r.servers[s]; res == Cancelled {
 				a := st.open[0]
 				a.passed, a.service, a.lost, st.lost = lostPassed, a.service-10, true, 1
 			}
-			g.do(&Outcome{ID: id, Store: s, Result: res, Final: true})
+			g.do(&Outcome{ID: id, Server: s, Result: res, Final: true})
 		}
 		for i := range 400 {
 			if lose && i%10 == 9 {
@@ -619,7 +619,7 @@
 			}
 		}
 		q := of(Send, g.ask("slow", cAny))[0]
-		s := g.r.stores[q.Store]
+		s := g.r.servers[q.Server]
 		a := s.open[0]
 		a.passed, a.service = lostPassed, a.service-4*a.req.work()/g.r.base(s) // four times its work
 		if wait {
@@ -641,27 +641,27 @@
 	}
 }
 
-// TestScaleDoesNotRunAway: a minute of answers of uneven times. Fails if chance drives the rates of the stores that answer
+// TestScaleDoesNotRunAway: a minute of answers of uneven times. Fails if chance drives the rates of the servers that answer
 // away from the one that has never been heard, which then wins every read or none.
 func TestScaleDoesNotRunAway(t *testing.T) {
 	g := trio(t, nil)
-	g.do(&List{Kind: ListChanges, Entries: []Entry{{Store: "new"}}})
-	g.r.stores["new"].fullUntil = math.MaxInt64 // it stays unheard
+	g.do(&List{Kind: ListChanges, Entries: []Entry{{Server: "new"}}})
+	g.r.servers["new"].fullUntil = math.MaxInt64 // it stays unheard
 	rng := rand.New(rand.NewPCG(3, 3))
 	for i := range 6000 {
 		g.pass(beat)
 		id := RequestID(fmt.Sprint(i))
 		for _, a := range of(Send, g.ask(id, cAny)) {
 			g.pass(Time(rng.ExpFloat64() * float64(20*ms)))
-			g.end(a.ID, a.Attempt, a.Store, OK)
+			g.end(a.ID, a.Attempt, a.Server, OK)
 		}
 	}
 	mean := 0.0
-	for _, s := range []StoreID{"p", "a", "b"} {
-		mean += math.Log(g.r.base(g.r.stores[s])) / 3
+	for _, s := range []ServerID{"p", "a", "b"} {
+		mean += math.Log(g.r.base(g.r.servers[s])) / 3
 	}
-	if off := math.Log(g.r.base(g.r.stores["new"])) - mean; math.Abs(off) > 0.1 {
-		t.Errorf("an unheard store is taken to be %.3g times as fast as the others", math.Exp(off))
+	if off := math.Log(g.r.base(g.r.servers["new"])) - mean; math.Abs(off) > 0.1 {
+		t.Errorf("an unheard server is taken to be %.3g times as fast as the others", math.Exp(off))
 	}
 	if math.Abs(mean) > math.Log(2*scaleMost) {
 		t.Errorf("mean rate %.3g", math.Exp(mean))
@@ -670,30 +670,30 @@
 
 // TestLostAnswersDoNotSlowTheRate: the rate follows the answers, not an attempt that they overtook.
 func TestLostAnswersDoNotSlowTheRate(t *testing.T) {
-	g := newRig(t, testSettings(), Entry{Store: "p"})
+	g := newRig(t, testSettings(), Entry{Server: "p"})
 	g.report("p", RolePrimary, g.now)
-	g.do(&Request{ID: "stuck", Class: cUnsafe, Due: g.now + time.Minute})
+	g.do(&Request{ID: "stuck", Class: cUnsafe, Deadline: g.now + time.Minute})
 	for i := range 100 {
 		id := RequestID(fmt.Sprint(i))
 		g.ask(id, cUnsafe)
 		g.pass(80 * ms)
 		g.end(id, 0, "p", OK)
 	}
-	if got := g.r.rateOf(g.r.stores["p"]); got < 0.7 {
+	if got := g.r.rateOf(g.r.servers["p"]); got < 0.7 {
 		t.Errorf("rate %v", got)
 	}
 }
 
-// TestOutageDoesNotOutlastItself: attempts left hanging by an outage must not keep the store from its trial.
+// TestOutageDoesNotOutlastItself: attempts left hanging by an outage must not keep the server from its trial.
 func TestOutageDoesNotOutlastItself(t *testing.T) {
-	g := newRig(t, testSettings(), Entry{Store: "p"})
+	g := newRig(t, testSettings(), Entry{Server: "p"})
 	g.report("p", RolePrimary, g.now)
 	for i := range 4 {
 		g.ask(RequestID(fmt.Sprint("hung", i)), cUnsafe)
 	}
 	g.pass(1500 * ms)
-	if g.r.stores["p"].health != down {
-		t.Fatal("a silent store is not down")
+	if g.r.servers["p"].health != down {
+		t.Fatal("a silent server is not down")
 	}
 	g.report("p", RolePrimary, g.now)
 	g.wantSend(g.ask("trial", cUnsafe), "trial", "p")
@@ -705,38 +705,38 @@
 	g.wantSend(g.end("trial", 0, "p", OK), "next", "p")
 }
 
-// TestTrialThatIsNotAnsweredEnds: a store that lets its trial hang goes down again.
+// TestTrialThatIsNotAnsweredEnds: a server that lets its trial hang goes down again.
 func TestTrialThatIsNotAnsweredEnds(t *testing.T) {
-	g := newRig(t, testSettings(), Entry{Store: "p"})
+	g := newRig(t, testSettings(), Entry{Server: "p"})
 	g.report("p", RolePrimary, g.now)
-	g.r.bad(g.r.stores["p"])
+	g.r.bad(g.r.servers["p"])
 	g.report("p", RolePrimary, g.now)
 	g.wantSend(g.ask("trial", cUnsafe), "trial", "p")
 	g.pass(1500 * ms)
-	if g.r.stores["p"].health != down {
-		t.Error("the trial hangs and the store is not down")
+	if g.r.servers["p"].health != down {
+		t.Error("the trial hangs and the server is not down")
 	}
 }
 
-func TestSlowStoreIsNotWrittenOff(t *testing.T) {
-	g := newRig(t, testSettings(), Entry{Store: "p"})
+func TestSlowServerIsNotLost(t *testing.T) {
+	g := newRig(t, testSettings(), Entry{Server: "p"})
 	g.report("p", RolePrimary, g.now)
 	for i := range 3 {
 		g.ask(RequestID(fmt.Sprint(i)), cUnsafe)
 	}
 	g.pass(time.Second)
-	if g.r.stores["p"].lost != 0 {
+	if g.r.servers["p"].lost != 0 {
 		t.Error("nothing was overtaken, so nothing may be written off")
 	}
 }
 
 func TestRepeatsWaitBehindFirstTries(t *testing.T) {
-	g := newRig(t, testSettings(), Entry{Store: "p"})
+	g := newRig(t, testSettings(), Entry{Server: "p"})
 	g.report("p", RolePrimary, g.now)
-	for i := 0; g.r.room(g.r.stores["p"], &request{class: &g.r.classes[cAny]}); i++ {
+	for i := 0; g.r.room(g.r.servers["p"], &request{class: &g.r.classes[cAny]}); i++ {
 		g.ask(RequestID(fmt.Sprint("fill", i)), cAny)
 	}
-	g.do(&Request{ID: "repeat", Class: cAny, Due: g.now + time.Second, Repeat: true})
+	g.do(&Request{ID: "repeat", Class: cAny, Deadline: g.now + time.Second, Retry: true})
 	g.ask("first", cAny)
 	g.now += 10 * ms
 	if got := of(Send, g.end("fill0", 0, "p", OK)); len(got) == 0 || got[0].ID != "first" {
@@ -747,9 +747,9 @@
 func TestWorkHint(t *testing.T) {
 	g := trio(t, nil)
 	due := g.now + time.Second
-	g.do(&Request{ID: "1", Class: cAny, Due: due, Work: 10 * ms})
-	g.do(&Request{ID: "2", Class: cAny, Due: due, Work: 30 * ms})
-	g.do(&Request{ID: "3", Class: cAny, Due: due})
+	g.do(&Request{ID: "1", Class: cAny, Deadline: due, Work: 10 * ms})
+	g.do(&Request{ID: "2", Class: cAny, Deadline: due, Work: 30 * ms})
+	g.do(&Request{ID: "3", Class: cAny, Deadline: due})
 	avg := g.r.classes[cAny].work
 	// The second raises the average to 20 ms, so it counts half as much again.
 	if a, b, c := g.r.reqs["1"].work(), g.r.reqs["2"].work(), g.r.reqs["3"].work(); math.Abs(a-avg)+math.Abs(b-1.5*avg)+math.Abs(c-avg) > 1e-9 {
@@ -759,10 +759,10 @@
 
 func TestTenantOverItsShareWaits(t *testing.T) {
 	// One of 100 routers: its part of the share is one request in ten seconds, and clumps are no excess.
-	g := trio(t, func(s *Settings) { s.Siblings, s.Tenants = 100, []Tenant{{Allowance: 10}} })
-	g.do(&List{Kind: ListChanges, Entries: []Entry{{Store: "x", Group: 9}}}) // new: requests wait for its probe
+	g := trio(t, func(s *Settings) { s.RouterCount, s.Tenants = 100, []Tenant{{Allowance: 10}} })
+	g.do(&List{Kind: ListChanges, Entries: []Entry{{Server: "x", Group: 9}}}) // new: requests wait for its probe
 	for i := range int(tenantDepth) + 1 {
-		g.do(&Request{ID: RequestID(fmt.Sprint(i)), Class: cAny, Group: 9, Due: g.now + time.Second})
+		g.do(&Request{ID: RequestID(fmt.Sprint(i)), Class: cAny, Group: 9, Deadline: g.now + time.Second})
 	}
 	if a, b := g.r.reqs["3"].value, g.r.reqs["4"].value; a != 1 || b != 0.1 {
 		t.Errorf("values %v and %v", a, b)
@@ -771,8 +771,8 @@
 
 func TestSubscription(t *testing.T) {
 	set := testSettings()
-	set.AskList = true
-	g := newRig(t, set, Entry{Store: "a"})
+	set.SubscribeList = true
+	g := newRig(t, set, Entry{Server: "a"})
 	if len(of(Subscribe, g.out)) != 1 {
 		t.Fatal("not subscribed at the start")
 	}
@@ -780,7 +780,7 @@
 	if n := len(of(Subscribe, g.pass(3*watchPause))); n != 1 {
 		t.Errorf("%d subscriptions after a failure", n)
 	}
-	if !g.r.stores["a"].usable() {
+	if !g.r.servers["a"].usable() {
 		t.Error("a failed list call must leave the old list in force")
 	}
 }
@@ -789,8 +789,8 @@
 // alone; one that breaks as it is opened is not, or a discovery in trouble would be flooded.
 func TestBrokenWatchIsReplacedSoon(t *testing.T) {
 	set := testSettings()
-	set.AskList = true
-	g := newRig(t, set, Entry{Store: "a"})
+	set.SubscribeList = true
+	g := newRig(t, set, Entry{Server: "a"})
 	g.pass(10 * time.Second)
 	g.do(&List{Kind: ListFailed})
 	if n := len(of(Subscribe, g.pass(3*watchSoon))); n != 1 {
@@ -819,7 +819,7 @@
 func TestFleetSubscribesInTime(t *testing.T) {
 	for _, ask := range []bool{true, false} {
 		set := testSettings()
-		set.Siblings, set.AskList = 300, ask
+		set.RouterCount, set.SubscribeList = 300, ask
 		var early, late int
 		for seed := range uint64(200) {
 			r := New(set, seed)
@@ -850,34 +850,34 @@
 
 // TestBadInput feeds what should never come; each has a defined result and no panic.
 func TestBadInput(t *testing.T) {
-	g := trio(t, func(s *Settings) { s.Siblings = 0 })
+	g := trio(t, func(s *Settings) { s.RouterCount = 0 })
 	for _, e := range []Event{
-		&Outcome{ID: "none", Store: "nowhere"}, &Outcome{ID: "none", Store: "a"}, &Expired{ID: "none"},
-		&ProbeResult{Store: "nowhere"}, &List{Kind: ListChanges}, &Timer{Tag: 99},
-		&List{Kind: ListChanges, Entries: []Entry{{Store: "new", State: Gone}}},
+		&Outcome{ID: "none", Server: "nowhere"}, &Outcome{ID: "none", Server: "a"}, &Abandoned{ID: "none"},
+		&ProbeResult{Server: "nowhere"}, &List{Kind: ListChanges}, &Timer{Tag: 99},
+		&List{Kind: ListChanges, Entries: []Entry{{Server: "new", State: Removed}}},
 	} {
 		g.wantNone(Send, g.do(e))
 	}
 	for _, q := range []*Request{
-		{ID: "class", Class: 99, Due: g.now + time.Second}, {ID: "neg", Class: -1, Due: g.now + time.Second},
-		{ID: "past", Class: cAny, Due: g.now - 1},
+		{ID: "class", Class: 99, Deadline: g.now + time.Second}, {ID: "neg", Class: -1, Deadline: g.now + time.Second},
+		{ID: "past", Class: cAny, Deadline: g.now - 1},
 	} {
 		if got := finals(g.do(q)); len(got) != 1 {
 			t.Errorf("%s: %+v", q.ID, got)
 		}
 	}
-	if got := finals(g.do(&Request{ID: "group", Class: cAny, Group: 77, Tenant: 5, Due: g.now + time.Second})); len(got) != 1 {
+	if got := finals(g.do(&Request{ID: "group", Class: cAny, Group: 77, Tenant: 5, Deadline: g.now + time.Second})); len(got) != 1 {
 		t.Errorf("a group with no members: %+v", got)
 	}
 	e := newRig(t, Settings{})
-	e.do(&Request{ID: "1", Due: e.now + time.Second})
+	e.do(&Request{ID: "1", Deadline: e.now + time.Second})
 	e.do(&List{Kind: ListFull})
 	e.pass(time.Second)
 }
 
-// play runs a mixed day and returns all actions; every store answers, some badly.
+// play runs a mixed day and returns all actions; every server answers, some badly.
 func play(t *testing.T, requests int) (*rig, []Action) {
-	g := trio(t, func(s *Settings) { s.KeptTokens = true })
+	g := trio(t, func(s *Settings) { s.TrackCommits = true })
 	var all []Action
 	var open []Action
 	answered := map[RequestID]int{}
@@ -903,7 +903,7 @@
 			open = open[1:]
 			res := OK
 			if len(a.ID)%3 == 0 && a.Attempt == 0 {
-				res = []Result{Failed, TimedOut, Unreachable, Reset, Full, Missed}[len(all)%6]
+				res = []Result{Failed, TimedOut, Unreachable, Reset, Overloaded, Misdirected}[len(all)%6]
 			}
 			over := answered[a.ID] > 0
 			final := res == OK || over
@@ -911,14 +911,14 @@
 				answered[a.ID]++ // later copies' answers reach nobody
 			}
 			role := RoleReplica
-			if a.Store == "p" {
+			if a.Server == "p" {
 				role = RolePrimary
 			}
-			take(g.do(&Outcome{ID: a.ID, Attempt: a.Attempt, Store: a.Store, Result: res, Final: final,
-				Told: Report{Role: role, Position: g.now, HasPosition: true}}))
+			take(g.do(&Outcome{ID: a.ID, Attempt: a.Attempt, Server: a.Server, Result: res, Final: final,
+				Report: Report{Role: role, Position: g.now, HasPosition: true}}))
 		}
-		for _, s := range []StoreID{"p", "a", "b"} {
-			if g.r.stores[s].probing {
+		for _, s := range []ServerID{"p", "a", "b"} {
+			if g.r.servers[s].probing {
 				role := RoleReplica
 				if s == "p" {
 					role = RolePrimary
@@ -929,7 +929,7 @@
 	}
 	for i := range requests {
 		id := RequestID(fmt.Sprint(i))
-		take(g.do(&Request{ID: id, Class: i % 5, Due: g.now + time.Second, Session: fmt.Sprint(i % 50)}))
+		take(g.do(&Request{ID: id, Class: i % 5, Deadline: g.now + time.Second, Session: fmt.Sprint(i % 50)}))
 		step()
 	}
 	for range 1000 {
@@ -969,8 +969,8 @@
 	g.do(&List{Kind: ListFull})
 	g.now += goneKeep
 	g.do(&Timer{})
-	if len(g.r.stores) != 0 || len(g.r.order) != 0 || len(g.r.groupOf(0).members) != 0 {
-		t.Error("vanished stores are kept")
+	if len(g.r.servers) != 0 || len(g.r.order) != 0 || len(g.r.groupOf(0).members) != 0 {
+		t.Error("vanished servers are kept")
 	}
 }
 
@@ -979,22 +979,22 @@
 func TestManyRoutersKeepTheFallRuleTogether(t *testing.T) {
 	const routers = 200
 	set := testSettings()
-	set.Siblings = routers
+	set.RouterCount = routers
 	var all []*rig
 	for i := range routers {
 		g := &rig{t: t, r: New(set, uint64(i+1)), now: start}
-		g.do(&List{Kind: ListRestored, Entries: []Entry{{Store: "p", Primary: true}}})
-		g.do(&List{Kind: ListChanges, Entries: []Entry{{Store: "p", Started: start}}})
+		g.do(&List{Kind: ListRestored, Entries: []Entry{{Server: "p", Primary: true}}})
+		g.do(&List{Kind: ListChanges, Entries: []Entry{{Server: "p", StartedAt: start}}})
 		all = append(all, g)
 	}
 	work := all[0].r.classes[cAny].work
-	allowed := set.FallMultiple * set.ColdFrom * startWidth * startRate // work a second just after the start
-	var sent []float64                                                  // by tenths of a second
+	allowed := set.OverloadMultiple * set.ColdCapacity * startWidth * startRate // work a second just after the start
+	var sent []float64                                                          // by tenths of a second
 	for step := range 30 {
 		n := 0
 		for i, g := range all {
 			g.now = start + Time(step)*100*ms
-			n += len(of(Send, g.do(&Request{ID: RequestID(fmt.Sprint(i, "-", step)), Class: cAny, Due: g.now + time.Second})))
+			n += len(of(Send, g.do(&Request{ID: RequestID(fmt.Sprint(i, "-", step)), Class: cAny, Deadline: g.now + time.Second})))
 		}
 		sent = append(sent, float64(n)*work)
 	}
@@ -1007,7 +1007,7 @@
 			t.Errorf("%.2f of work in the second from %d ms, allowed %.2f", sum, i*100, most)
 		}
 		if i == 0 && sum == 0 {
-			t.Error("nothing at all was sent to the cold store in its first second")
+			t.Error("nothing at all was sent to the cold server in its first second")
 		}
 	}
 }
@@ -1017,25 +1017,25 @@
 func TestColdMembersTakeDifferentRequests(t *testing.T) {
 	const members, warmUp, requests = 20, 500, 2000
 	set := testSettings()
-	set.Siblings, set.ColdTime = 80, 1000*time.Second
+	set.RouterCount, set.ColdDuration = 80, 1000*time.Second
 	set.Classes[cAny].Deadline = 50 * ms
 	var entries []Entry
 	for i := range members {
-		entries = append(entries, Entry{Store: StoreID(fmt.Sprint("s", i)), Started: start})
+		entries = append(entries, Entry{Server: ServerID(fmt.Sprint("s", i)), StartedAt: start})
 	}
 	g := newRig(t, set, entries...)
 	for _, s := range g.r.order {
 		s.coldFrom, s.rel = start-200*time.Second, 2 // about 0.36 of its capacity
 	}
-	part := coldMargin * set.FallMultiple * g.r.rateOf(g.r.order[0]) * startWidth / float64(set.Siblings)
-	sent, each := 0, map[StoreID]int{}
+	part := coldMargin * set.OverloadMultiple * g.r.rateOf(g.r.order[0]) * startWidth / float64(set.RouterCount)
+	sent, each := 0, map[ServerID]int{}
 	for i := range warmUp + requests {
 		g.pass(20 * ms)
 		for _, a := range of(Send, g.ask(RequestID(fmt.Sprint(i)), cAny)) {
-			g.do(&Outcome{ID: a.ID, Store: a.Store, Result: Cancelled, Final: true})
+			g.do(&Outcome{ID: a.ID, Server: a.Server, Result: Cancelled, Final: true})
 			if i >= warmUp {
 				sent++
-				each[a.Store]++
+				each[a.Server]++
 			}
 		}
 	}
@@ -1055,7 +1055,7 @@
 // if reads that lagging replicas turn away all go there; without writes they may.
 func TestReadsSpareABusyPrimary(t *testing.T) {
 	for _, writes := range []bool{true, false} {
-		g := trio(t, func(set *Settings) { set.Siblings, set.Behind = 80, BehindWaits })
+		g := trio(t, func(set *Settings) { set.RouterCount, set.LagPolicy = 80, LagWaits })
 		reads := 0
 		for i := range 300 {
 			class := cBounded
@@ -1064,16 +1064,16 @@
 			}
 			g.pass(20 * ms)
 			for _, a := range of(Send, g.ask(RequestID(fmt.Sprint(i)), class)) {
-				if a.Store == "p" && class == cBounded && i >= 50 {
+				if a.Server == "p" && class == cBounded && i >= 50 {
 					reads++
 				}
 				g.pass(10 * ms)
-				if a.Store == "p" {
-					g.end(a.ID, 0, a.Store, OK)
+				if a.Server == "p" {
+					g.end(a.ID, 0, a.Server, OK)
 					continue
 				}
-				g.do(&Outcome{ID: a.ID, Store: a.Store, Result: Missed, Final: true,
-					Told: Report{Role: RoleReplica, Position: g.now - 5*time.Second, HasPosition: true}})
+				g.do(&Outcome{ID: a.ID, Server: a.Server, Result: Misdirected, Final: true,
+					Report: Report{Role: RoleReplica, Position: g.now - 5*time.Second, HasPosition: true}})
 			}
 		}
 		if (reads == 0) != writes {
@@ -1085,8 +1085,8 @@
 // TestWritesComeFirstAtAColdPrimary: a cold primary may take few of a group's requests, but as many as its writes are. Fails
 // if the ration is reckoned as though all reads wanted that primary too.
 func TestWritesComeFirstAtAColdPrimary(t *testing.T) {
-	g := trio(t, func(set *Settings) { set.Siblings, set.ColdTime = 80, 1000*time.Second })
-	p := g.r.stores["p"]
+	g := trio(t, func(set *Settings) { set.RouterCount, set.ColdDuration = 80, 1000*time.Second })
+	p := g.r.servers["p"]
 	p.coldFrom = start - 200*time.Second // about 0.36 of its capacity
 	writes, sent := 0, 0
 	for i := range 2000 {
@@ -1100,35 +1100,35 @@
 			if class == cUnsafe && a.ID == id && i >= 500 {
 				sent++
 			}
-			g.do(&Outcome{ID: a.ID, Store: a.Store, Result: Cancelled, Final: true})
+			g.do(&Outcome{ID: a.ID, Server: a.Server, Result: Cancelled, Final: true})
 		}
 		if class == cUnsafe && i >= 500 {
 			writes++
 		}
-		g.do(&Expired{ID: id})
+		g.do(&Abandoned{ID: id})
 	}
-	part := coldMargin * g.r.set.FallMultiple * g.r.rateOf(p) * startWidth / 80
+	part := coldMargin * g.r.set.OverloadMultiple * g.r.rateOf(p) * startWidth / 80
 	if want := min(1, part/(g.r.work)); float64(sent) < 0.6*want*float64(writes) {
 		t.Errorf("%d of %d writes went out, want about %.2f of them", sent, writes, want)
 	}
 }
 
-// TestDrainedThenGoneStaysBarred: where only draining binds, a store seen draining and then listed as gone is
+// TestDrainedThenGoneStaysBarred: where only draining binds, a server seen draining and then listed as gone is
 // barred; one only listed as gone is not, and is forgotten once it has not answered for a while.
 func TestDrainedThenGoneStaysBarred(t *testing.T) {
 	set := testSettings()
-	set.DrainOnly = true
-	g := newRig(t, set, Entry{Store: "a"}, Entry{Store: "b", Group: 1})
-	g.do(&List{Kind: ListChanges, Entries: []Entry{{Store: "a", State: Draining}}})
-	g.do(&List{Kind: ListChanges, Entries: []Entry{{Store: "a", State: Gone}, {Store: "b", Group: 1, State: Gone}}})
+	set.SoftRemoval = true
+	g := newRig(t, set, Entry{Server: "a"}, Entry{Server: "b", Group: 1})
+	g.do(&List{Kind: ListChanges, Entries: []Entry{{Server: "a", State: Draining}}})
+	g.do(&List{Kind: ListChanges, Entries: []Entry{{Server: "a", State: Removed}, {Server: "b", Group: 1, State: Removed}}})
 	g.wantNone(Send, g.ask("1", cAny))
-	g.wantSend(g.do(&Request{ID: "2", Class: cAny, Group: 1, Due: g.now + time.Second}), "2", "b")
-	g.wantSend(g.do(&List{Kind: ListChanges, Entries: []Entry{{Store: "a"}}}), "1", "a")
+	g.wantSend(g.do(&Request{ID: "2", Class: cAny, Group: 1, Deadline: g.now + time.Second}), "2", "b")
+	g.wantSend(g.do(&List{Kind: ListChanges, Entries: []Entry{{Server: "a"}}}), "1", "a")
 	g.end("1", 0, "a", OK)
 	g.end("2", 0, "b", OK)
 	g.pass(goneKeep + 2*refreshEvery)
-	if len(g.r.stores) != 1 || g.r.stores["a"] == nil {
-		t.Errorf("%d stores kept, want a alone", len(g.r.stores))
+	if len(g.r.servers) != 1 || g.r.servers["a"] == nil {
+		t.Errorf("%d servers kept, want a alone", len(g.r.servers))
 	}
 }
 
@@ -1146,24 +1146,24 @@
 }
 
 // TestGoesRoundTheMembers: one of many routers that has nothing in flight must not send read after read to the same
-// store, however little it sees. Fails if the other routers are not taken to do as it does.
+// server, however little it sees. Fails if the other routers are not taken to do as it does.
 func TestGoesRoundTheMembers(t *testing.T) {
-	g := trio(t, func(s *Settings) { s.Siblings, s.Behind = 200, BehindRefuses })
-	got := map[StoreID]int{}
+	g := trio(t, func(s *Settings) { s.RouterCount, s.LagPolicy = 200, LagRejects })
+	got := map[ServerID]int{}
 	for i := range 60 {
 		id := RequestID(fmt.Sprint(i))
 		sent := of(Send, g.ask(id, cAny))
 		if len(sent) != 1 {
 			t.Fatalf("read %d: %+v", i, sent)
 		}
-		got[sent[0].Store]++
+		got[sent[0].Server]++
 		g.now += 80 * ms
-		g.end(id, 0, sent[0].Store, OK)
+		g.end(id, 0, sent[0].Server, OK)
 		g.now += 220 * ms
 	}
-	for _, s := range []StoreID{"p", "a", "b"} {
+	for _, s := range []ServerID{"p", "a", "b"} {
 		if got[s] < 12 || got[s] > 28 {
-			t.Errorf("reads by store: %v, want about a third each", got)
+			t.Errorf("reads by server: %v, want about a third each", got)
 		}
 	}
 }
@@ -1173,13 +1173,13 @@
 func TestLongReadsKeepTogether(t *testing.T) {
 	const cLong = cAny + 1
 	set := testSettings()
-	set.Siblings = 80
-	set.Classes = append(set.Classes, Class{Aim: 3 * time.Second, Deadline: 6 * time.Second, Worth: 4, Read: ReadAny})
+	set.RouterCount = 80
+	set.Classes = append(set.Classes, Class{LatencyTarget: 3 * time.Second, Deadline: 6 * time.Second, Value: 4, Read: ReadAny})
 	var entries []Entry
 	for i := range 10 {
-		entries = append(entries, Entry{Store: StoreID(fmt.Sprint("s", i))})
+		entries = append(entries, Entry{Server: ServerID(fmt.Sprint("s", i))})
 	}
-	long, short := map[StoreID]int{}, map[StoreID]int{}
+	long, short := map[ServerID]int{}, map[ServerID]int{}
 	for seed := range 20 { // as many routers
 		g := &rig{t: t, r: New(set, uint64(seed+1)), now: start}
 		g.do(&List{Kind: ListRestored, Entries: entries})
@@ -1191,57 +1191,57 @@
 			}
 			g.pass(50 * ms)
 			for _, a := range of(Send, g.ask(RequestID(fmt.Sprint(i)), class)) {
-				count[a.Store]++
+				count[a.Server]++
 				g.pass(20 * ms)
-				g.do(&Outcome{ID: a.ID, Store: a.Store, Result: Cancelled, Final: true})
+				g.do(&Outcome{ID: a.ID, Server: a.Server, Result: Cancelled, Final: true})
 			}
 		}
 	}
 	if len(short) < 9 || long["s1"] < 150 || long["s0"] > 0 {
-		t.Errorf("long reads by store: %v, others: %v", long, short)
+		t.Errorf("long reads by server: %v, others: %v", long, short)
 	}
 }
 
-// TestFailingStoreIsNotTheCheapest: quick failures leave a store idle, and an idle store costs least. Fails if failed
+// TestFailingStoreIsNotTheCheapest: quick failures leave a server idle, and an idle server costs least. Fails if failed
 // answers do not count.
-func TestFailingStoreIsNotTheCheapest(t *testing.T) {
+func TestFailingServerIsNotTheCheapest(t *testing.T) {
 	g := trio(t, nil)
-	g.r.stores["a"].rel = 1.5
+	g.r.servers["a"].rel = 1.5
 	for i := range 3 {
 		id := RequestID(fmt.Sprint(i))
 		sent := of(Send, g.ask(id, cAny))
 		g.now += 5 * ms
 		if i == 0 {
-			g.wantSend(g.end(id, 0, sent[0].Store, Failed), id, "")
+			g.wantSend(g.end(id, 0, sent[0].Server, Failed), id, "")
 		}
-		if i > 0 && sent[0].Store == "a" {
-			t.Errorf("read %d went to the store that failed", i)
+		if i > 0 && sent[0].Server == "a" {
+			t.Errorf("read %d went to the server that failed", i)
 		}
 	}
 }
 
 // TestOwnStallIsNoEvidence: a router that stood still finds every timer late and every answer late. Fails if it takes
-// stores for silent or slow by that.
+// servers for silent or slow by that.
 func TestOwnStallIsNoEvidence(t *testing.T) {
 	g := trio(t, nil)
-	sent := of(Send, g.ask("1", cAny))[0].Store
-	rate := g.r.stores[sent].rel
+	sent := of(Send, g.ask("1", cAny))[0].Server
+	rate := g.r.servers[sent].rel
 	g.now += 3 * time.Second
-	g.do(&Request{ID: "2", Class: cAny, Due: g.now + time.Second})
+	g.do(&Request{ID: "2", Class: cAny, Deadline: g.now + time.Second})
 	g.end("1", 0, sent, OK)
 	g.do(&Timer{})
-	if s := g.r.stores[sent]; s.health != healthy || s.rel < rate {
+	if s := g.r.servers[sent]; s.health != healthy || s.rel < rate {
 		t.Errorf("health %v, rate %v of %v", s.health, s.rel, rate)
 	}
 }
 
-// BenchmarkHandle is one of 250 routers before 90 stores: a read and its answer.
+// BenchmarkHandle is one of 250 routers before 90 servers: a read and its answer.
 func BenchmarkHandle(b *testing.B) {
 	set := testSettings()
-	set.Siblings, set.Behind = 250, BehindRefuses
+	set.RouterCount, set.LagPolicy = 250, LagRejects
 	var entries []Entry
 	for i := range 90 {
-		entries = append(entries, Entry{Store: StoreID(fmt.Sprint(i)), Group: i / 6})
+		entries = append(entries, Entry{Server: ServerID(fmt.Sprint(i)), Group: i / 6})
 	}
 	r := New(set, 1)
 	out := r.Handle(start, &List{Kind: ListRestored, Entries: entries}, nil)
@@ -1250,46 +1250,46 @@
 	for i := 0; b.Loop(); i++ {
 		id := RequestID(fmt.Sprint(i))
 		now += 70 * ms
-		out = r.Handle(now, &Request{ID: id, Class: cAny, Group: i % 15, Due: now + time.Second}, out[:0])
+		out = r.Handle(now, &Request{ID: id, Class: cAny, Group: i % 15, Deadline: now + time.Second}, out[:0])
 		for _, a := range of(Send, out) {
 			now += 10 * ms
-			out = r.Handle(now, &Outcome{ID: id, Store: a.Store, Result: OK, Final: true}, out[:0])
+			out = r.Handle(now, &Outcome{ID: id, Server: a.Server, Result: OK, Final: true}, out[:0])
 		}
 		out = r.Handle(now, &Timer{}, out[:0])
 	}
 }
 
-// TestSlowWayIsNotADeadStore: probes and connections into one other zone take long and fail, while that zone's stores
+// TestSlowWayIsNotADeadStore: probes and connections into one other zone take long and fail, while that zone's servers
 // are well. Reads go elsewhere; a write still goes to the primary there, and it does not count as restarted. Fails if
-// the store is judged by the way to it. A refusal that comes at once is the store's own.
-func TestSlowWayIsNotADeadStore(t *testing.T) {
-	g := newRig(t, testSettings(), Entry{Store: "p", Zone: 1}, Entry{Store: "a"})
+// the server is judged by the way to it. A refusal that comes at once is the server's own.
+func TestSlowPathIsNotADeadServer(t *testing.T) {
+	g := newRig(t, testSettings(), Entry{Server: "p", Zone: 1}, Entry{Server: "a"})
 	g.report("p", RolePrimary, g.now)
 	g.report("a", RoleReplica, g.now)
-	g.r.probe(g.r.stores["p"], 0)
+	g.r.probe(g.r.servers["p"], 0)
 	g.now += 250 * ms
-	g.do(&ProbeResult{Store: "p", Result: TimedOut})
+	g.do(&ProbeResult{Server: "p", Result: TimedOut})
 	g.wantSend(g.ask("read", cAny), "read", "a")
 	g.wantSend(g.ask("write", cUnsafe), "write", "p")
 	g.now += 250 * ms
 	g.wantSend(g.end("write", 0, "p", Unreachable), "write", "p")
-	if s := g.r.stores["p"]; s.health != healthy || s.coldFrom != never {
+	if s := g.r.servers["p"]; s.health != healthy || s.coldFrom != never {
 		t.Errorf("health %v, cold from %v", s.health, s.coldFrom)
 	}
 	g.now += 2 * ms
 	g.end("write", 1, "p", Unreachable)
 	g.now += 2 * ms
 	g.end("write", 2, "p", Unreachable)
-	if s := g.r.stores["p"]; s.health != down {
+	if s := g.r.servers["p"]; s.health != down {
 		t.Errorf("refused at once: health %v, want down", s.health)
 	}
 }
 
-// TestCutOffStoreIsNoSlowWay: one store of another zone is cut off, so that connections and probes to it fail at their time
-// limit, while others there answer as ever. Fails if that passes for a slow way and the store stays in use.
-func TestCutOffStoreIsNoSlowWay(t *testing.T) {
-	g := newRig(t, testSettings(), Entry{Store: "a", Zone: 1}, Entry{Store: "b", Zone: 1})
-	a, b := g.r.stores["a"], g.r.stores["b"]
+// TestCutOffStoreIsNoSlowWay: one server of another zone is cut off, so that connections and probes to it fail at their time
+// limit, while others there answer as ever. Fails if that passes for a slow way and the server stays in use.
+func TestCutOffServerIsNotASlowPath(t *testing.T) {
+	g := newRig(t, testSettings(), Entry{Server: "a", Zone: 1}, Entry{Server: "b", Zone: 1})
+	a, b := g.r.servers["a"], g.r.servers["b"]
 	answer := func(id RequestID) { // by b, while a connection or a probe to a hangs
 		g.pass(20 * ms)
 		a.fullUntil = math.MaxInt64
@@ -1306,7 +1306,7 @@
 	g.end("lost", 0, "a", Unreachable)
 	for i := range 2 {
 		answer(RequestID(fmt.Sprint("then-", i)))
-		g.do(&ProbeResult{Store: "a", Result: Unreachable})
+		g.do(&ProbeResult{Server: "a", Result: Unreachable})
 	}
 	if a.health != down {
 		t.Errorf("health %v after a connection and two probes that failed", a.health)
@@ -1320,19 +1320,19 @@
 // if having asked for positions once it may ask no more.
 func TestReadTriesEveryMemberBeforeOneAgain(t *testing.T) {
 	g := trio(t, nil)
-	seen := map[StoreID]bool{}
+	seen := map[ServerID]bool{}
 	sent := of(Send, g.ask("1", cAny))
 	for i := range 3 {
-		if len(sent) != 1 || seen[sent[0].Store] {
+		if len(sent) != 1 || seen[sent[0].Server] {
 			t.Fatalf("try %d: %+v, tried before: %v", i, sent, seen)
 		}
-		seen[sent[0].Store] = true
+		seen[sent[0].Server] = true
 		g.now += 5 * ms
-		sent = of(Send, g.end("1", i, sent[0].Store, Failed))
+		sent = of(Send, g.end("1", i, sent[0].Server, Failed))
 	}
-	g = newRig(t, testSettings(), Entry{Store: "p"}, Entry{Store: "a"}, Entry{Store: "b"})
+	g = newRig(t, testSettings(), Entry{Server: "p"}, Entry{Server: "a"}, Entry{Server: "b"})
 	g.report("p", RolePrimary, g.now)
-	g.r.stores["p"].fails, g.r.stores["p"].failedAt = 0.95, g.now
+	g.r.servers["p"].fails, g.r.servers["p"].failedAt = 0.95, g.now
 	asked := of(Probe, g.ask("2", cBounded))
 	if len(asked) != 2 {
 		t.Fatalf("asked %+v, want the two replicas", asked)
@@ -1343,8 +1343,8 @@
 		t.Fatalf("sent %+v", sent)
 	}
 	g.now += 310 * ms // what was told is too old by now
-	g.r.stores["p"].failedAt = g.now
-	if again := of(Probe, g.end("2", 0, sent[0].Store, Failed)); len(again) == 0 {
+	g.r.servers["p"].failedAt = g.now
+	if again := of(Probe, g.end("2", 0, sent[0].Server, Failed)); len(again) == 0 {
 		t.Error("after a failure the others are not asked")
 	}
 }
@@ -1352,9 +1352,9 @@
 // TestGuessRefusesNothing: in a busy fleet the guess of others' load alone makes every member look too slow. Fails if
 // that refuses a read which no report and no answer speaks against.
 func TestGuessRefusesNothing(t *testing.T) {
-	g := trio(t, func(s *Settings) { s.Siblings, s.Behind = 250, BehindRefuses })
+	g := trio(t, func(s *Settings) { s.RouterCount, s.LagPolicy = 250, LagRejects })
 	g.r.flow, g.r.sends, g.r.flowSpan, g.r.flowAt = 50, 250, 5, g.now
-	if n, _ := g.r.load(g.r.stores["a"]); n < 2*startWidth {
+	if n, _ := g.r.load(g.r.servers["a"]); n < 2*startWidth {
 		t.Fatalf("load %v: the guess should be high here", n)
 	}
 	out := g.ask("1", cAny)
@@ -1362,13 +1362,13 @@
 	g.wantNone(Refuse, out)
 }
 
-// TestSlowAnswersTellOfOthersLoad: one of many routers has nothing at a store whose queue is full. Fails if it sends the
+// TestSlowAnswersTellOfOthersLoad: one of many routers has nothing at a server whose queue is full. Fails if it sends the
 // next read there after an answer many times its work; with few routers their own requests explain that.
 func TestSlowAnswersTellOfOthersLoad(t *testing.T) {
 	for siblings, avoids := range map[int]bool{250: true, 1: false} {
-		g := trio(t, func(s *Settings) { s.Siblings, s.Behind = siblings, BehindRefuses })
-		first := of(Send, g.ask("1", cAny))[0].Store
-		a := g.r.stores[first]
+		g := trio(t, func(s *Settings) { s.RouterCount, s.LagPolicy = siblings, LagRejects })
+		first := of(Send, g.ask("1", cAny))[0].Server
+		a := g.r.servers[first]
 		for range 39 { // the router is awake: this is no standstill of its own
 			g.pass(beat)
 		}
@@ -1383,17 +1383,17 @@
 // to one before that can have caught up.
 func TestMissesInARowAreNotRepeated(t *testing.T) {
 	set := testSettings()
-	set.Behind = BehindRefuses
-	g := newRig(t, set, Entry{Store: "a"}, Entry{Store: "b"})
-	out := g.do(&Request{ID: "1", Class: cSession, Due: g.now + time.Second, SinceOwn: 50 * ms})
+	set.LagPolicy = LagRejects
+	g := newRig(t, set, Entry{Server: "a"}, Entry{Server: "b"})
+	out := g.do(&Request{ID: "1", Class: cSession, Deadline: g.now + time.Second, SinceCommit: 50 * ms})
 	for i := range 2 {
 		sent := of(Send, out)
 		if len(sent) != 1 {
 			t.Fatalf("try %d: %+v", i, sent)
 		}
 		g.now += 5 * ms
-		out = g.do(&Outcome{ID: "1", Attempt: i, Store: sent[0].Store, Result: Missed,
-			Told: Report{Role: RoleReplica, Position: g.now - 2*time.Second, HasPosition: true}})
+		out = g.do(&Outcome{ID: "1", Attempt: i, Server: sent[0].Server, Result: Misdirected,
+			Report: Report{Role: RoleReplica, Position: g.now - 2*time.Second, HasPosition: true}})
 	}
 	g.wantNone(Send, append(out, g.pass(100*ms)...))
 }
@@ -1403,14 +1403,14 @@
 func TestFleetInput(t *testing.T) {
 	for _, siblings := range []int{-1, 0, 1, 1000} {
 		set := testSettings()
-		set.Siblings, set.DrainOnly = siblings, true
+		set.RouterCount, set.SoftRemoval = siblings, true
 		var list []Entry
 		for i := range 500 {
-			list = append(list, Entry{Store: StoreID(fmt.Sprint("s", i)), Group: i % 100, Kind: i % 3})
+			list = append(list, Entry{Server: ServerID(fmt.Sprint("s", i)), Group: i % 100, Kind: i % 3})
 		}
 		g := newRig(t, set, list...)
 		for i := range 1000 { // a thousand groups with one request each
-			g.do(&Request{ID: RequestID(fmt.Sprint(i)), Class: cAny, Group: i, Due: g.now + time.Second})
+			g.do(&Request{ID: RequestID(fmt.Sprint(i)), Class: cAny, Group: i, Deadline: g.now + time.Second})
 		}
 		for range 5 {
 			g.do(&List{Kind: ListFull, Entries: list}) // the same list each second
@@ -1418,56 +1418,56 @@
 		}
 		list[0].Group = 7 // moved
 		g.do(&List{Kind: ListFull, Entries: list[:250]})
-		g.do(&List{Kind: ListChanges, Entries: []Entry{{Store: "s1", State: Draining}, {Store: "s1", State: Gone}, {Store: "s1"}}})
+		g.do(&List{Kind: ListChanges, Entries: []Entry{{Server: "s1", State: Draining}, {Server: "s1", State: Removed}, {Server: "s1"}}})
 		g.pass(goneKeep + 3*time.Second)
 		if len(g.r.reqs) != 0 || g.r.open > 500 {
 			t.Errorf("%d siblings: %d requests and %d attempts left", siblings, len(g.r.reqs), g.r.open)
 		}
-		if g.r.stores["s1"] == nil || !g.r.stores["s1"].listed() {
+		if g.r.servers["s1"] == nil || !g.r.servers["s1"].listed() {
 			t.Error("drained, gone and back: not usable")
 		}
 	}
 }
 
 // TestLateConnectionFailureIsAskedAbout: opening connections has become slow, so that some fail at their time limit, while
-// the stores are well. Fails if that takes a store out of use; a probe tells whether it lives.
+// the servers are well. Fails if that takes a server out of use; a probe tells whether it lives.
 func TestLateConnectionFailureIsAskedAbout(t *testing.T) {
 	g := trio(t, nil)
 	g.wantSend(g.ask("1", cUnsafe), "1", "p")
 	g.pass(250 * ms)
 	out := g.end("1", 0, "p", Unreachable)
 	g.wantSend(out, "1", "p")
-	if got := of(Probe, out); len(got) != 1 || got[0].Store != "p" || g.r.stores["p"].health != healthy {
-		t.Errorf("probes %+v, health %v", got, g.r.stores["p"].health)
+	if got := of(Probe, out); len(got) != 1 || got[0].Server != "p" || g.r.servers["p"].health != healthy {
+		t.Errorf("probes %+v, health %v", got, g.r.servers["p"].health)
 	}
 	for range 2 {
 		g.now += 5 * ms
-		g.do(&ProbeResult{Store: "p", Result: Unreachable})
+		g.do(&ProbeResult{Server: "p", Result: Unreachable})
 	}
-	if g.r.stores["p"].health != down {
-		t.Error("the probe failed too, and again, and the store is not down")
+	if g.r.servers["p"].health != down {
+		t.Error("the probe failed too, and again, and the server is not down")
 	}
 }
 
-// TestOneBrokenConnectionIsNoOutage: connections of stores that are well break by themselves. Fails if one takes its store out,
-// if no probe asks soon whether there is more to it, or if a store that answers what was sent before counts as restarted.
+// TestOneBrokenConnectionIsNoOutage: connections of servers that are well break by themselves. Fails if one takes its server out,
+// if no probe asks soon whether there is more to it, or if a server that answers what was sent before counts as restarted.
 func TestOneBrokenConnectionIsNoOutage(t *testing.T) {
 	g := trio(t, nil)
-	s := g.r.stores["p"]
+	s := g.r.servers["p"]
 	g.ask("held", cUnsafe)
 	g.ask("held2", cUnsafe)
-	for _, broken := range []Event{&ProbeResult{Store: "p", Result: Reset}, &ProbeResult{Store: "p", Result: Unreachable}} {
+	for _, broken := range []Event{&ProbeResult{Server: "p", Result: Reset}, &ProbeResult{Server: "p", Result: Unreachable}} {
 		g.do(broken)
 		if s.health != healthy {
 			t.Fatalf("after one %+v: health %v", broken, s.health)
 		}
-		if got := of(Probe, g.pass(2*beat)); len(got) != 1 || got[0].Store != "p" {
+		if got := of(Probe, g.pass(2*beat)); len(got) != 1 || got[0].Server != "p" {
 			t.Fatalf("asked %+v", got)
 		}
-		g.do(&ProbeResult{Store: "p", Result: OK})
+		g.do(&ProbeResult{Server: "p", Result: OK})
 	}
 	for range 2 {
-		g.do(&ProbeResult{Store: "p", Result: Reset})
+		g.do(&ProbeResult{Server: "p", Result: Reset})
 	}
 	if s.health != down {
 		t.Fatalf("after two: health %v", s.health)
@@ -1481,15 +1481,15 @@
 	}
 }
 
-// TestProbesSlowDownLate: probes fail by chance too, and one that comes late after a few such keeps a store out, and lets it
+// TestProbesSlowDownLate: probes fail by chance too, and one that comes late after a few such keeps a server out, and lets it
 // count as restarted. Only after several does the pause between them grow.
 func TestProbesSlowDownLate(t *testing.T) {
 	g := trio(t, nil)
 	g.ask("open", cUnsafe) // its group is tended to
-	g.r.stores["a"].health = down
+	g.r.servers["a"].health = down
 	last := g.now
 	for n := range probeSoon + 3 {
-		for g.pass(beat); !g.r.stores["a"].probing && g.now-last < time.Minute; {
+		for g.pass(beat); !g.r.servers["a"].probing && g.now-last < time.Minute; {
 			g.pass(beat)
 		}
 		want := probeDown << max(0, n-probeSoon)
@@ -1497,18 +1497,18 @@
 			t.Errorf("probe %d after %v, want %v", n, took, want)
 		}
 		last = g.now
-		g.do(&ProbeResult{Store: "a", Result: Unreachable})
+		g.do(&ProbeResult{Server: "a", Result: Unreachable})
 	}
 }
 
-// TestUnreadableReportTellsNothing: a probe answered with what cannot be read neither takes a store out of use nor back.
+// TestUnreadableReportTellsNothing: a probe answered with what cannot be read neither takes a server out of use nor back.
 func TestUnreadableReportTellsNothing(t *testing.T) {
 	g := trio(t, nil)
 	for _, was := range []health{healthy, down} {
-		s := g.r.stores["p"]
+		s := g.r.servers["p"]
 		s.health = was
 		g.r.probe(s, 0)
-		g.do(&ProbeResult{Store: "p", Result: Failed})
+		g.do(&ProbeResult{Server: "p", Result: Failed})
 		if s.health != was || s.probing {
 			t.Errorf("health %v became %v, probing %v", was, s.health, s.probing)
 		}
@@ -1517,25 +1517,25 @@
 }
 
 // TestUnknownGroupLeavesNoTrace: what asks for groups that there are not is turned away at once, and neither that nor a
-// group whose stores have all left takes memory for good.
+// group whose servers have all left takes memory for good.
 func TestUnknownGroupLeavesNoTrace(t *testing.T) {
 	g := trio(t, func(s *Settings) { s.MaxRetryAfter = time.Second })
 	groups := len(g.r.groups)
 	for i := range 100 {
-		got := finals(g.do(&Request{ID: RequestID(fmt.Sprint(i)), Class: cAny, Group: 1000 + i, Due: g.now + time.Second}))
+		got := finals(g.do(&Request{ID: RequestID(fmt.Sprint(i)), Class: cAny, Group: 1000 + i, Deadline: g.now + time.Second}))
 		if len(got) != 1 || got[0].Kind != Refuse || got[0].Wait <= 0 {
 			t.Fatalf("got %+v", got)
 		}
 	}
-	g.do(&List{Kind: ListChanges, Entries: []Entry{{Store: "x", Group: 9}}})
-	g.do(&List{Kind: ListChanges, Entries: []Entry{{Store: "x", Group: 9, State: Gone}}})
+	g.do(&List{Kind: ListChanges, Entries: []Entry{{Server: "x", Group: 9}}})
+	g.do(&List{Kind: ListChanges, Entries: []Entry{{Server: "x", Group: 9, State: Removed}}})
 	g.ask("a", cAny) // a beat comes while something is open only
 	for range 40 {
 		g.pass(time.Second)
 		g.ask(RequestID(fmt.Sprint("a", g.now)), cAny)
 	}
-	if len(g.r.groups) != groups || len(g.r.gorder) != groups || g.r.stores["x"] != nil {
-		t.Errorf("%d groups, %d before; %v", len(g.r.groups), groups, g.r.stores["x"])
+	if len(g.r.groups) != groups || len(g.r.gorder) != groups || g.r.servers["x"] != nil {
+		t.Errorf("%d groups, %d before; %v", len(g.r.groups), groups, g.r.servers["x"])
 	}
 }
 
@@ -1550,16 +1550,16 @@
 	}{
 		"never sent":  {OK, 1500 * ms, 1400 * ms},
 		"unreachable": {Unreachable, 1500 * ms, 1400 * ms},
-		"seen":        {Missed, 3000 * ms, 2900 * ms},
+		"seen":        {Misdirected, 3000 * ms, 2900 * ms},
 	} {
 		g := trio(t, func(s *Settings) { s.MayProbe = false })
 		began := g.now
 		if c.result == OK {
-			g.do(&List{Kind: ListChanges, Entries: []Entry{{Store: "p", State: Gone}}})
+			g.do(&List{Kind: ListChanges, Entries: []Entry{{Server: "p", State: Removed}}})
 			g.ask("w", cUnsafe)
 		} else {
 			g.wantSend(g.ask("w", cUnsafe), "w", "p")
-			g.do(&List{Kind: ListChanges, Entries: []Entry{{Store: "p", State: Gone}}})
+			g.do(&List{Kind: ListChanges, Entries: []Entry{{Server: "p", State: Removed}}})
 			g.end("w", 0, "p", c.result)
 		}
 		for len(finals(g.pass(10*ms))) == 0 && g.now-began < 4*time.Second {
@@ -1570,28 +1570,28 @@
 	}
 }
 
-// served plays routers before stores of so many cores that share them equally, at a part of what those can do, and returns the
+// served plays routers before servers of so many cores that share them equally, at a part of what those can do, and returns the
 // width that the first router has learned.
 func served(t *testing.T, seed uint64, routers int, cores, load float64, span time.Duration) float64 {
-	const stores, work, step = 3, 0.04, 2 * ms
+	const servers, work, step = 3, 0.04, 2 * ms
 	type job struct {
 		g    *rig
 		id   RequestID
 		left float64
 	}
 	set := testSettings()
-	set.Siblings, set.MayDuplicate, set.FallMultiple = routers, false, 0
+	set.RouterCount, set.MayDuplicate, set.OverloadMultiple = routers, false, 0
 	var all []*rig
-	held := map[StoreID][]*job{}
+	held := map[ServerID][]*job{}
 	rng := rand.New(rand.NewPCG(seed, 9))
 	handle := func(g *rig, actions []Action) {
 		for _, a := range of(Send, actions) {
-			held[a.Store] = append(held[a.Store], &job{g, a.ID, rng.ExpFloat64() * work})
+			held[a.Server] = append(held[a.Server], &job{g, a.ID, rng.ExpFloat64() * work})
 		}
 	}
 	for i := range routers {
 		g := &rig{t: t, r: New(set, uint64(i+1)), now: start}
-		g.do(&List{Kind: ListRestored, Entries: []Entry{{Store: "a"}, {Store: "b"}, {Store: "c"}}})
+		g.do(&List{Kind: ListRestored, Entries: []Entry{{Server: "a"}, {Server: "b"}, {Server: "c"}}})
 		all = append(all, g)
 	}
 	due, n := 0.0, 0
@@ -1600,12 +1600,12 @@
 			g.now = now
 			handle(g, g.do(&Timer{}))
 		}
-		for due += load * stores * cores / work * step.Seconds() * rng.ExpFloat64(); due >= 1; due-- {
+		for due += load * servers * cores / work * step.Seconds() * rng.ExpFloat64(); due >= 1; due-- {
 			g := all[rng.IntN(routers)]
 			n++
-			handle(g, g.do(&Request{ID: RequestID(fmt.Sprint(n)), Class: cAny, Due: now + 2*time.Second}))
+			handle(g, g.do(&Request{ID: RequestID(fmt.Sprint(n)), Class: cAny, Deadline: now + 2*time.Second}))
 		}
-		for _, id := range []StoreID{"a", "b", "c"} {
+		for _, id := range []ServerID{"a", "b", "c"} {
 			var kept, done []*job
 			part := min(1, cores/float64(len(held[id]))) * step.Seconds()
 			for _, j := range held[id] {
@@ -1621,11 +1621,11 @@
 			}
 		}
 	}
-	return all[0].r.width(all[0].r.stores["a"])
+	return all[0].r.width(all[0].r.servers["a"])
 }
 
-// TestWidthIsLearned: how many requests a store serves at full rate is told nowhere. Taken for less, requests wait here while
-// stores are half idle; taken for far more, they crowd a store. It is learned to within a factor of two, and not below the
+// TestWidthIsLearned: how many requests a server serves at full rate is told nowhere. Taken for less, requests wait here while
+// servers are half idle; taken for far more, they crowd a server. It is learned to within a factor of two, and not below the
 // start, whatever the load; one of many routers sees too little and stays there.
 func TestWidthIsLearned(t *testing.T) {
 	for _, c := range []struct {
--- a/state.go
+++ b/state.go
@@ -20,8 +20,8 @@
 	out       []Action
 	classes   []class
 	tenants   []tenant
-	stores    map[StoreID]*store
-	order     []*store // by id
+	servers   map[ServerID]*server
+	order     []*server // by id
 	groups    map[int]*group
 	gorder    []*group // by number
 	reqs      map[RequestID]*request
@@ -42,7 +42,7 @@
 	mustWork  float64 // its sum, as sends
 	flowSpan  float64
 	flowAt    Time
-	loadTold  bool // reports tell how many requests a store holds
+	loadTold  bool // reports tell how many requests a server holds
 	listed    bool
 	wakeAt    Time // the timer that is out, never for none
 	refreshAt Time
@@ -52,7 +52,7 @@
 	watchFails int // subscriptions in a row that did not hold
 }
 
-// health is what the router thinks of a store.
+// health is what the router thinks of a server.
 type health uint8
 
 const (
@@ -61,8 +61,8 @@
 	down           // takes nothing until a probe succeeds, or without probes a while has passed
 )
 
-type store struct {
-	id           StoreID
+type server struct {
+	id           ServerID
 	entry        Entry
 	group        *group
 	open         []*attempt // in order of sending
@@ -102,16 +102,16 @@
 
 type group struct {
 	id      int
-	members []*store
+	members []*server
 	held    []*request
 }
 
 type attempt struct {
 	req     *request
-	store   *store
+	server  *server
 	no      int
 	sent    Time
-	service float64 // the store's virtual service at the send
+	service float64 // the server's virtual service at the send
 	met     int     // our requests there, with it
 	over    bool
 	rescued bool
@@ -128,9 +128,9 @@
 	due       Time
 	aim       Time
 	session   string
-	need      Time // session reads: the position that a store must have reached
+	need      Time // session reads: the position that a server must have reached
 	value     float64
-	luck      float64 // from 0 to 1, drawn once: what a cold store rations by
+	luck      float64 // from 0 to 1, drawn once: what a cold server rations by
 	size      float64 // work against the class's average by the hint, 1 without one
 	last      Time    // after this an answer is worth nothing
 	tries     []*attempt
@@ -138,15 +138,15 @@
 	maybe     bool // an attempt may have run
 	maybeAt   Time // send of the first that may have, and its zone
 	maybeZone int
-	reached   bool // an attempt got to a store
-	asked     int  // stores asked for it
+	reached   bool // an attempt got to a server
+	asked     int  // servers asked for it
 	askUntil  Time // it waits for them until then
 	finished  bool
 }
 
 type class struct {
 	Class
-	work  float64 // average work, in units of a rate-1 store's seconds
+	work  float64 // average work, in units of a rate-1 server's seconds
 	n     float64
 	lasts float64 // average time to an answer, where routers are few
 	hint  float64 // average work hint, over so many
@@ -162,24 +162,24 @@
 	at     Time
 }
 
-// newStore files a store of which nothing is known.
-func (r *Router) newStore(id StoreID, g *group) *store {
-	s := &store{id: id, group: g, serviceAt: r.now, position: never, pace: 1, rel: 1, positionAt: r.now, roleAt: never,
+// newServer adds a server about which nothing is known yet.
+func (r *Router) newServer(id ServerID, g *group) *server {
+	s := &server{id: id, group: g, serviceAt: r.now, position: never, pace: 1, rel: 1, positionAt: r.now, roleAt: never,
 		heardAt: never, failedAt: never, probeAt: never, coldFrom: never, answered: never, badAt: never}
-	r.stores[id] = s
+	r.servers[id] = s
 	r.order = append(r.order, s)
-	slices.SortFunc(r.order, func(a, b *store) int { return cmp.Compare(a.id, b.id) })
+	slices.SortFunc(r.order, func(a, b *server) int { return cmp.Compare(a.id, b.id) })
 	g.members = append(g.members, s)
 	return s
 }
 
-func (s *store) isBusy() bool { return len(s.open) > 0 }
+func (s *server) isBusy() bool { return len(s.open) > 0 }
 
-// drop unfiles a store, and with its last store a group that nothing waits in; the caller takes it out of the order.
-func (r *Router) drop(s *store) {
+// drop unfiles a server, and with its last server a group that nothing waits in; the caller takes it out of the order.
+func (r *Router) drop(s *server) {
 	g := s.group
-	g.members = slices.DeleteFunc(g.members, func(o *store) bool { return o == s })
-	delete(r.stores, s.id)
+	g.members = slices.DeleteFunc(g.members, func(o *server) bool { return o == s })
+	delete(r.servers, s.id)
 	if len(g.members) == 0 && len(g.held) == 0 {
 		delete(r.groups, g.id)
 		r.gorder = slices.DeleteFunc(r.gorder, func(o *group) bool { return o == g })
@@ -190,7 +190,7 @@
 const scaleMost = 8.0
 
 // rescale keeps the scale that rates and works share: no answer holds it, and chance drives it up. A kind's rate is the
-// mean of its heard stores', so that an unheard one takes that. No estimate changes against another.
+// mean of its heard servers', so that an unheard one takes that. No estimate changes against another.
 func (r *Router) rescale() {
 	all, n := 0.0, 0.0
 	kinds := map[int][2]float64{} // of the rates against their kind's: the logarithms' sum, how many
@@ -222,8 +222,8 @@
 	r.work, r.musts, r.mustWork = r.work/unit, r.musts/unit, r.mustWork/unit
 }
 
-// width is how many requests a kind of store serves at full rate each, learned from how long answers take by how many
-// of this router's own requests a store held when theirs was sent.
+// width is how many requests a kind of server serves at full rate each, learned from how long answers take by how many
+// of this router's own requests a server held when theirs was sent.
 type width struct {
 	is    float64
 	times [widthSteps]mean // against the class's mean; step i holds from 2^(i/2) of them on
@@ -242,16 +242,16 @@
 	return w
 }
 
-func (r *Router) width(s *store) float64 { return r.widthOf(s.entry.Kind).is }
+func (r *Router) width(s *server) float64 { return r.widthOf(s.entry.Kind).is }
 
 // ownAs is what one request of our own stands for where others' are not told: part of theirs.
-func (r *Router) ownAs() float64 { return 1 + othersLike*float64(r.set.Siblings-1) }
+func (r *Router) ownAs() float64 { return 1 + othersLike*float64(r.set.RouterCount-1) }
 
 // timed counts an answer's time against its class's mean, and not against what work and rate make of it, as both are
 // learned by the width; nor does the guess of others' load enter, which grows with the width. One of many routers sees
-// too little of what a store holds, and a cold or slow store is late for another reason.
-func (r *Router) timed(s *store, a *attempt, took Time) {
-	if fewRouters < r.set.Siblings || r.warmth(s) < 1 || s.rel < widthTry/2 {
+// too little of what a server holds, and a cold or slow server is late for another reason.
+func (r *Router) timed(s *server, a *attempt, took Time) {
+	if fewRouters < r.set.RouterCount || r.warmth(s) < 1 || s.rel < widthTry/2 {
 		return
 	}
 	c := a.req.class
@@ -262,7 +262,7 @@
 }
 
 // share is the part of the rate for one alone that each of n requests gets: about width/n beyond the width.
-func (r *Router) share(s *store, n float64) float64 {
+func (r *Router) share(s *server, n float64) float64 {
 	w := r.width(s)
 	x := n * n / (w * w)
 	return 1 / math.Sqrt(math.Sqrt(1+x*x))
@@ -281,27 +281,27 @@
 }
 
 // putIn files an attempt that goes out.
-func (r *Router) putIn(s *store, a *attempt) {
+func (r *Router) putIn(s *server, a *attempt) {
 	s.open = append(s.open, a)
 	a.req.tries = append(a.req.tries, a)
 	a.req.open++
 	r.open++
 }
 
-// tried tells whether a request was sent to a store before.
-func (q *request) tried(s *store) bool {
-	return slices.ContainsFunc(q.tries, func(a *attempt) bool { return a.store == s })
+// tried tells whether a request was sent to a server before.
+func (q *request) tried(s *server) bool {
+	return slices.ContainsFunc(q.tries, func(a *attempt) bool { return a.server == s })
 }
 
-// loseOpen marks all that is out at a store as lost.
-func (s *store) loseOpen() {
+// loseOpen marks all that is out at a server as lost.
+func (s *server) loseOpen() {
 	s.lost = len(s.open)
 	for _, a := range s.open {
 		a.lost = true
 	}
 }
 
-// blurOpen marks all that is out as of no measured time, and all stores as just heard.
+// blurOpen marks all that is out as of no measured time, and all servers as just heard.
 func (r *Router) blurOpen() {
 	for _, s := range r.order {
 		s.answered = r.now
@@ -312,7 +312,7 @@
 }
 
 // takeOut unfiles an attempt that ended, and tells how many older ones are still out; nil if it is not known.
-func (r *Router) takeOut(s *store, id RequestID, no int) (*attempt, int) {
+func (r *Router) takeOut(s *server, id RequestID, no int) (*attempt, int) {
 	i := slices.IndexFunc(s.open, func(a *attempt) bool { return a.req.id == id && a.no == no })
 	if i < 0 {
 		return nil, 0
@@ -354,7 +354,7 @@
 }
 
 // learn takes a role and a position; at is the time of the role's evidence.
-func (r *Router) learn(s *store, t Report, at Time) {
+func (r *Router) learn(s *server, t Report, at Time) {
 	if t.HasPosition {
 		s.placedAt = r.now
 	}
@@ -368,16 +368,16 @@
 	if t.Role != RoleUnknown && at >= s.roleAt {
 		s.role, s.roleAt = t.Role, at
 	}
-	if t.HasHeld {
+	if t.HasInFlight {
 		r.advance(s)
-		s.told, s.heardAt, r.loadTold = max(0, t.Held-float64(len(s.open))), r.now, true
+		s.told, s.heardAt, r.loadTold = max(0, t.InFlight-float64(len(s.open))), r.now, true
 	}
 }
 
 // loaded takes an answer as evidence of so many requests met, unless our own explain them.
-func (r *Router) loaded(s *store, met float64) bool {
+func (r *Router) loaded(s *server, met float64) bool {
 	n, _ := r.load(s)
-	if fewRouters*(len(s.open)+1) >= r.set.Siblings || met <= n {
+	if fewRouters*(len(s.open)+1) >= r.set.RouterCount || met <= n {
 		return false
 	}
 	s.told, s.heardAt = (n+met)/2, r.now
