--- a/api.go
+++ b/api.go
@@ -99,7 +99,7 @@
 
 	DrainGrace       time.Duration
 	SoftRemoval      bool          // a server missing from the list may still serve; only the state Draining forbids sends
-	OverloadMultiple float64       // a cold server must not be sent this multiple of its present capacity for OverloadTime, 0 for no limit
+	OverloadMultiple float64       // a cold server must not be sent this multiple of its capacity for OverloadTime
 	OverloadTime     time.Duration // how long a cold server withstands an overload, 0 for no limit
 	ColdCapacity     float64       // part of its capacity that a server has when it starts
 	ColdDuration     time.Duration // time from its start until a server has its full capacity
@@ -216,14 +216,14 @@
 
 // Entry is a line of the server list.
 type Entry struct {
-	Server    ServerID
-	Group     int
-	Kind      int
-	Zone      int
-	Weight    float64
-	State     ServerState
-	StartedAt Time // when its process last started, 0 for long ago
-	Primary   bool
+	Server      ServerID
+	Group       int
+	MachineType int
+	Zone        int
+	Weight      float64
+	State       ServerState
+	StartedAt   Time // when its process last started, 0 for long ago
+	Primary     bool
 }
 
 // List is news of the servers.
--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -86,7 +86,7 @@
 func (p *pooler) start() {
 	p.dir = discovery.New(p.loop, p.log, p.cfg.Discovery, p.cfg.LastKnownList.Generation, p.core)
 	p.core.Start(p.pool, p.dir)
-	p.front.Start()
+	p.front.StartSweeps()
 	p.logCounters()
 	p.enter(serving)
 	p.log.Info("serving", "listen", p.loop.Addr(), "servers", len(p.cfg.LastKnownList.Instances),
--- a/cmd/beechgrade/story_test.go
+++ b/cmd/beechgrade/story_test.go
@@ -739,7 +739,7 @@
 func TestRefusalSaysWhenToComeBack(t *testing.T) {
 	addr, _ := server(t)
 	pooler, _, _ := start(t, addr, nil, func(c *config.Config) {
-		c.LastKnownList.Instances[0].Cell, c.Settings.MaxRetryAfter = 9, 1500*time.Millisecond
+		c.LastKnownList.Instances[0].Group, c.Settings.MaxRetryAfter = 9, 1500*time.Millisecond
 	})
 	c := client(t, pooler)
 	c.send(query("1", "read", 400)) // nobody serves its group
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -41,9 +41,9 @@
 	once    bool            // it must not run twice
 }
 
-// Start starts an attempt that ends by itself at until, and is not sent at by or later. One that must not run twice
-// is spared connections that would probably lose it.
-func (p *Pool) Start(id string, q Query, until, by float64, once bool, t AttemptID) slots.Ref {
+// StartAttempt starts an attempt that times out at until, and is not sent at by or later. An attempt that must not run twice
+// is not sent on a connection that would probably lose it.
+func (p *Pool) StartAttempt(id string, q Query, until, by float64, once bool, t AttemptID) slots.Ref {
 	a := &attempt{tag: t, id: id, query: q, until: until, by: by, began: p.loop.Now(), once: once, server: p.servers[id]}
 	a.ref = p.attempts.Put(a)
 	p.begin(a)
@@ -57,15 +57,15 @@
 	p.begin(a)
 }
 
-// Cancel gives an attempt up. Where its query is out, its connection is closed and never used again.
-func (p *Pool) Cancel(ref slots.Ref) {
+// CancelAttempt cancels an attempt. If its query has been sent, its connection is closed and never used again.
+func (p *Pool) CancelAttempt(ref slots.Ref) {
 	if a, ok := p.attempts.Get(ref); ok {
 		p.drop(a, beechgrade.Cancelled)
 	}
 }
 
-// CancelUnsent cancels an attempt that still waits for a connection. One that has been sent stays in flight.
-func (p *Pool) CancelUnsent(ref slots.Ref) {
+// CancelUnsentAttempt cancels an attempt that still waits for a connection. One that has been sent stays in flight.
+func (p *Pool) CancelUnsentAttempt(ref slots.Ref) {
 	if a, ok := p.attempts.Get(ref); ok && a.conn == nil {
 		p.drop(a, beechgrade.Skipped)
 	}
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -149,7 +149,7 @@
 	var r *rig
 	r = newRig(t, looker{events, func() bool { return r.pool.ConnCount() > 0 }}, options())
 	for name, giveUp := range map[string]func(ref slots.Ref, far net.Conn){
-		"called off": func(ref slots.Ref, _ net.Conn) { r.do(func() { r.pool.Cancel(ref) }) },
+		"called off": func(ref slots.Ref, _ net.Conn) { r.do(func() { r.pool.CancelAttempt(ref) }) },
 		"timed out":  func(slots.Ref, net.Conn) { r.do(func() { r.clk.Ms += 9000 }) },
 		"spoilt":     func(_ slots.Ref, far net.Conn) { say(t, far, []byte("noise")) },
 		"stalled": func(_ slots.Ref, far net.Conn) {
@@ -161,7 +161,7 @@
 		var ref slots.Ref
 		r.do(func() {
 			r.pool.SetAddress("s", server.Addr().String())
-			ref = r.pool.Start("s", events, r.clk.Ms+9000, math.Inf(1), false, AttemptID{})
+			ref = r.pool.StartAttempt("s", events, r.clk.Ms+9000, math.Inf(1), false, AttemptID{})
 		})
 		far := accept(t, server)
 		say(t, far, pgwire.AppendStartupReply(nil))
@@ -187,7 +187,7 @@
 // server's end of sending, its rest must not be handed over with the close: it is told as never sent, and goes out again.
 func TestHalfWrittenNeverArrives(t *testing.T) {
 	for name, ends := range map[string]func(p *Pool, ref slots.Ref, far net.Conn){
-		"called off":       func(p *Pool, ref slots.Ref, _ net.Conn) { p.Cancel(ref) },
+		"called off":       func(p *Pool, ref slots.Ref, _ net.Conn) { p.CancelAttempt(ref) },
 		"the server's end": nil,
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -196,7 +196,7 @@
 			var ref slots.Ref
 			r.do(func() {
 				r.pool.SetAddress("s", server.Addr().String())
-				ref = r.pool.Start("s", large{}, r.clk.Ms+9000, math.Inf(1), true, AttemptID{})
+				ref = r.pool.StartAttempt("s", large{}, r.clk.Ms+9000, math.Inf(1), true, AttemptID{})
 			})
 			far := accept(t, server)
 			say(t, far, pgwire.AppendStartupReply(nil))
@@ -251,7 +251,7 @@
 	r.do(func() {
 		r.pool.SetAddress("s", server.Addr().String())
 		for range 2 {
-			r.pool.Start("s", events, r.clk.Ms+9000, math.Inf(1), true, AttemptID{})
+			r.pool.StartAttempt("s", events, r.clk.Ms+9000, math.Inf(1), true, AttemptID{})
 		}
 	})
 	slow := []net.Conn{accept(t, server), accept(t, server)}
@@ -285,8 +285,8 @@
 		r := newRig(t, events, options())
 		r.do(func() {
 			r.pool.SetAddress("s", server.Addr().String())
-			r.pool.Start("s", events, r.clk.Ms+9000, r.clk.Ms+100, true, AttemptID{})
-			r.pool.Start("s", events, r.clk.Ms+9000, math.Inf(1), true, AttemptID{Number: 1})
+			r.pool.StartAttempt("s", events, r.clk.Ms+9000, r.clk.Ms+100, true, AttemptID{})
+			r.pool.StartAttempt("s", events, r.clk.Ms+9000, math.Inf(1), true, AttemptID{Number: 1})
 		})
 		slow := []net.Conn{accept(t, server), accept(t, server)}
 		if late == nil {
@@ -337,13 +337,13 @@
 	<-ready
 	l.Post(func() {
 		p.SetAddress("s", "127.0.0.1:1")
-		p.Start("s", events, clk.Ms+9000, math.Inf(1), true, AttemptID{})
-		p.Cancel(p.Start("s", events, clk.Ms+9000, math.Inf(1), true, AttemptID{Number: 1}))
+		p.StartAttempt("s", events, clk.Ms+9000, math.Inf(1), true, AttemptID{})
+		p.CancelAttempt(p.StartAttempt("s", events, clk.Ms+9000, math.Inf(1), true, AttemptID{Number: 1}))
 	})
 	l.Post(func() { clk.Ms += 250 })
 	l.Post(func() {
 		p.SetAddress("t", "127.0.0.1:1")
-		p.Start("t", events, clk.Ms+9000, math.Inf(1), true, AttemptID{Number: 2})
+		p.StartAttempt("t", events, clk.Ms+9000, math.Inf(1), true, AttemptID{Number: 2})
 		p.RemoveExcept(map[string]bool{"s": true}) // t has left the list
 		p.Remove("s")
 		if len(p.servers) != 0 {
@@ -428,7 +428,7 @@
 	go func() { ended <- l.Run("127.0.0.1:0") }()
 	l.Post(func() {
 		p.SetAddress("s", server.Addr().String())
-		p.Start("s", events, l.Now()+20000, math.Inf(1), false, AttemptID{})
+		p.StartAttempt("s", events, l.Now()+20000, math.Inf(1), false, AttemptID{})
 	})
 	far, err := server.Accept()
 	if err != nil {
--- a/internal/backend/held_up_test.go
+++ b/internal/backend/held_up_test.go
@@ -30,7 +30,7 @@
 			r.events = events.told
 			r.do(func() {
 				r.pool.SetAddress("s", server.Addr().String())
-				r.pool.Start("s", events, r.clk.Ms+9000, math.Inf(1), true, AttemptID{})
+				r.pool.StartAttempt("s", events, r.clk.Ms+9000, math.Inf(1), true, AttemptID{})
 			})
 			far := accept(t, server)
 			say(t, far, pgwire.AppendStartupReply(nil))
@@ -52,7 +52,7 @@
 	r := newRig(t, events, options())
 	r.do(func() {
 		r.pool.SetAddress("s", server.Addr().String())
-		r.pool.Start("s", large{}, r.clk.Ms+9000, math.Inf(1), true, AttemptID{})
+		r.pool.StartAttempt("s", large{}, r.clk.Ms+9000, math.Inf(1), true, AttemptID{})
 	})
 	far := accept(t, server)
 	say(t, far, pgwire.AppendStartupReply(nil))
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -17,7 +17,7 @@
 	AppendQuery(dst []byte, waitMs int) []byte
 }
 
-// Events is told of ends. The calls may come from within Start, Cancel and Probe.
+// Events receives the ends of attempts and probes. Its methods may be called from within StartAttempt, CancelAttempt and Probe.
 type Events interface {
 	AttemptEnded(t AttemptID, o Outcome)
 	ProbeEnded(server string, o Outcome)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -38,10 +38,10 @@
 	LastKnownList discovery.List
 	Settings      beechgrade.Settings
 
-	Classes, Zones, Kinds []string // names, by the module's numbers
-	ReportFields          []string // that servers' load reports have
-	ConnectTimeoutMs      float64
-	IdleTimeoutMs         float64 // servers close connections that are idle for this long
+	Classes, Zones, MachineTypes []string // names, by the module's numbers
+	ReportFields                 []string // that servers' load reports have
+	ConnectTimeoutMs             float64
+	IdleTimeoutMs                float64 // servers close connections that are idle for this long
 }
 
 type file struct {
@@ -180,7 +180,7 @@
 	if len(c.Classes) == 0 {
 		return errors.New("settings: request_classes: none given")
 	}
-	c.Zones, c.Kinds, c.ReportFields = names(pairs["zones"]), names(pairs["kinds"]), names(pairs["telemetry.fields"])
+	c.Zones, c.MachineTypes, c.ReportFields = names(pairs["zones"]), names(pairs["kinds"]), names(pairs["telemetry.fields"])
 	if c.ConnectTimeoutMs, err = millis(pairs, "allowed.connect_timeout_ns", defaultConnect); err != nil {
 		return err
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := []any{c.Listen, c.Seed, c.Limits.Sockets, c.LastKnownList.Generation, c.Classes, c.Kinds, c.ConnectTimeoutMs, c.IdleTimeoutMs,
+	got := []any{c.Listen, c.Seed, c.Limits.Sockets, c.LastKnownList.Generation, c.Classes, c.MachineTypes, c.ConnectTimeoutMs, c.IdleTimeoutMs,
 		c.Settings.Classes[0].StalenessBound, c.Settings.Classes[0].LatencyTarget, c.Settings.MayProbe, c.ReportFields}
 	want := []any{"127.0.0.2:1", uint64(0x8c1f30d27a5be964), 1024, int64(41), []string{"a", "b"}, []string{"k1", "k2"}, 120.0,
 		30000.0, 200 * time.Millisecond, 200 * time.Millisecond, true, []string{"busy_reqs", "x0"}}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -32,9 +32,9 @@
 	Drain(id string)
 	Remove(id string)
 	RemoveExcept(ids map[string]bool)
-	Start(id string, q backend.Query, until, by float64, once bool, t backend.AttemptID) slots.Ref
-	Cancel(attempt slots.Ref)
-	CancelUnsent(attempt slots.Ref)
+	StartAttempt(id string, q backend.Query, until, by float64, once bool, t backend.AttemptID) slots.Ref
+	CancelAttempt(attempt slots.Ref)
+	CancelUnsentAttempt(attempt slots.Ref)
 	Probe(id string)
 }
 
@@ -77,7 +77,7 @@
 func New(l *loop.Loop, log *slog.Logger, cfg *config.Config) *Core {
 	c := &Core{loop: l, log: log, cfg: cfg, router: beechgrade.New(cfg.Settings, cfg.Seed),
 		guard: invariant.New(log, l.Metrics()), classes: map[string]int{}, ids: map[string]bool{},
-		zones: newNames(cfg.Zones), kinds: newNames(cfg.Kinds)}
+		zones: newNames(cfg.Zones), kinds: newNames(cfg.MachineTypes)}
 	for i, n := range cfg.Classes {
 		c.classes[n] = i
 	}
@@ -204,7 +204,7 @@
 		c.send(a)
 	case beechgrade.Cancel:
 		if q, ok := c.requests.Get(refOf(a.ID)); ok && a.Attempt >= 0 && a.Attempt < len(q.tries) {
-			c.servers.Cancel(q.tries[a.Attempt].ref)
+			c.servers.CancelAttempt(q.tries[a.Attempt].ref)
 		}
 	case beechgrade.Refuse:
 		if q := c.conclude(a); q != nil {
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -107,7 +107,7 @@
 		return
 	}
 	for i := range q.tries {
-		c.servers.CancelUnsent(q.tries[i].ref)
+		c.servers.CancelUnsentAttempt(q.tries[i].ref)
 	}
 	if _, ok := c.requests.Get(ref); ok && q.open == 0 { // the last one taken back has led here already
 		c.requests.Delete(ref)
@@ -132,7 +132,7 @@
 		return
 	}
 	q.open++
-	at := c.servers.Start(string(a.Server), q.query, until, clock.Milliseconds(a.SendDeadline), q.once,
+	at := c.servers.StartAttempt(string(a.Server), q.query, until, clock.Milliseconds(a.SendDeadline), q.once,
 		backend.AttemptID{Request: ref, Number: no})
 	q.tries[no].ref = at
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -34,7 +34,7 @@
 	HostPort    string  `json:"hostPort"`
 	Zone        string  `json:"zone"`
 	MachineType string  `json:"machineType"`
-	Cell        int     `json:"cell"`
+	Group       int     `json:"cell"`
 	Lifecycle   string  `json:"lifecycle"`
 	Weight      float64 `json:"weight"`
 	StartedAtMs int64   `json:"startedAtMs"`
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -113,7 +113,7 @@
 	if w.made > groups*(1+replicas) {
 		started = time.Now().UnixMilli()
 	}
-	w.dir.Set(discovery.Instance{ID: s.id, HostPort: s.Addr(), Zone: "room", MachineType: "small", Cell: cell, Lifecycle: lifecycleUp,
+	w.dir.Set(discovery.Instance{ID: s.id, HostPort: s.Addr(), Zone: "room", MachineType: "small", Group: cell, Lifecycle: lifecycleUp,
 		Weight: 1, Role: role, StartedAtMs: started})
 	return s, nil
 }
@@ -244,7 +244,7 @@
 		w.mu.Unlock()
 		return
 	}
-	entry := discovery.Instance{ID: s.id, HostPort: s.Addr(), Zone: "room", MachineType: "small", Cell: cell, Weight: 1, Role: s.role}
+	entry := discovery.Instance{ID: s.id, HostPort: s.Addr(), Zone: "room", MachineType: "small", Group: cell, Weight: 1, Role: s.role}
 	entry.Lifecycle = lifecycleDraining
 	w.dir.Set(entry)
 	s.Retire(w.dir.Told())
--- a/internal/front/crowd.go
+++ b/internal/front/crowd.go
@@ -114,8 +114,8 @@
 // aside is what the client holds beside its open requests: what it sends ahead and does not read.
 func (s *session) aside() int { return s.held - s.open }
 
-// Start begins the sweeps; it is for the loop.
-func (p *Postgres) Start() { p.loop.At(p.loop.Now()+sweepMs, p.sweep) }
+// StartSweeps starts the periodic check of clients' connections. It has to be called on the loop.
+func (p *Postgres) StartSweeps() { p.loop.At(p.loop.Now()+sweepMs, p.sweep) }
 
 // sweep ends what clients have held for too long.
 func (p *Postgres) sweep() {
@@ -156,7 +156,7 @@
 		p.log.Warn("too many clients", "turned_away", p.turned, "sessions", p.sessions.Len())
 		p.turned = 0
 	}
-	p.Start()
+	p.StartSweeps()
 }
 
 // admit tells whether there is a descriptor for a new client, and makes room: first where nobody waits for
--- a/internal/front/room_test.go
+++ b/internal/front/room_test.go
@@ -24,7 +24,7 @@
 	loop  *loop.Loop
 	front *Postgres
 	asked chan Client
-	ask   func() // runs within each Ask
+	ask   func() // runs within each Submit
 }
 
 func newShop(t *testing.T, memory int) *shop {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -359,7 +359,7 @@
 			case "shard":
 				e.Group = g.integer()
 			case "shape":
-				e.Kind = g.integer()
+				e.MachineType = g.integer()
 			case "availability":
 				s, ok := states[string(g.val)]
 				if !ok {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -51,7 +51,7 @@
 	ms := time.Millisecond
 	want := []beechgrade.Event{
 		&beechgrade.List{Kind: beechgrade.ListRestored, Entries: []beechgrade.Entry{
-			{Server: "h:1", Group: 11, Kind: 1, Zone: 2, Weight: 2.5, Primary: true},
+			{Server: "h:1", Group: 11, MachineType: 1, Zone: 2, Weight: 2.5, Primary: true},
 			{Server: "h:2", Group: 11, Weight: 1, State: beechgrade.Draining, StartedAt: 61}}},
 		&beechgrade.List{Entries: []beechgrade.Entry{{Server: "h:3", Group: 4, Weight: 1, State: beechgrade.Removed}}},
 		&beechgrade.List{Kind: beechgrade.ListFailed},
--- a/router.go
+++ b/router.go
@@ -142,7 +142,7 @@
 }
 
 // base is a server's rate when warm: its kind's, taught by all answers, times its own; one hears little.
-func (r *Router) base(s *server) float64 { return r.pools[s.entry.Kind] * s.rel }
+func (r *Router) base(s *server) float64 { return r.pools[s.entry.MachineType] * s.rel }
 
 func (r *Router) turn(s *server) Time { return seconds(r.work / r.rateOf(s)) }
 
@@ -711,8 +711,8 @@
 			continue
 		}
 		s.entry, s.gone, s.draining = n, 0, n.State == Draining
-		if r.pools[n.Kind] == 0 {
-			r.pools[n.Kind] = startRate
+		if r.pools[n.MachineType] == 0 {
+			r.pools[n.MachineType] = startRate
 		}
 	}
 	for _, s := range r.order {
@@ -812,13 +812,13 @@
 			}
 		}
 		if s.got *= rate; s.want > 0 || s.got > 0 { // from here on in work at its present rate
-			k := kinds[s.entry.Kind]
-			kinds[s.entry.Kind] = [2]float64{k[0] + s.want, k[1] + s.got}
+			k := kinds[s.entry.MachineType]
+			kinds[s.entry.MachineType] = [2]float64{k[0] + s.want, k[1] + s.got}
 		}
 	}
 	for _, s := range r.order {
 		if s.want > 0 || s.got > 0 {
-			f := step(kinds[s.entry.Kind][0], kinds[s.entry.Kind][1])
+			f := step(kinds[s.entry.MachineType][0], kinds[s.entry.MachineType][1])
 			s.rel = min(rateMost, max(1/rateMost, s.rel*step(s.want, s.got*f)))
 		}
 		s.want, s.got = 0, 0
--- a/router_test.go
+++ b/router_test.go
@@ -186,8 +186,8 @@
 }
 
 func TestServerWithoutAnswersTakesItsKindsRate(t *testing.T) {
-	g := newRig(t, testSettings(), Entry{Server: "a", Kind: 0}, Entry{Server: "b", Kind: 1}, Entry{Server: "c", Kind: 1},
-		Entry{Server: "d", Kind: 1, Group: 5})
+	g := newRig(t, testSettings(), Entry{Server: "a", MachineType: 0}, Entry{Server: "b", MachineType: 1}, Entry{Server: "c", MachineType: 1},
+		Entry{Server: "d", MachineType: 1, Group: 5})
 	if got := g.r.base(g.r.servers["a"]); got != startRate {
 		t.Errorf("nothing heard: %v", got)
 	}
@@ -546,7 +546,7 @@
 	}
 }
 
-// TestSilentStoreLosesReads: a server that answers probes but no requests is left alone.
+// TestSilentServerLosesReads: a server that answers probes but no requests is left alone.
 func TestSilentServerLosesReads(t *testing.T) {
 	g := trio(t, nil)
 	for _, s := range g.r.order {
@@ -1202,7 +1202,7 @@
 	}
 }
 
-// TestFailingStoreIsNotTheCheapest: quick failures leave a server idle, and an idle server costs least. Fails if failed
+// TestFailingServerIsNotTheCheapest: quick failures leave a server idle, and an idle server costs least. Fails if failed
 // answers do not count.
 func TestFailingServerIsNotTheCheapest(t *testing.T) {
 	g := trio(t, nil)
@@ -1259,7 +1259,7 @@
 	}
 }
 
-// TestSlowWayIsNotADeadStore: probes and connections into one other zone take long and fail, while that zone's servers
+// TestSlowPathIsNotADeadServer: probes and connections into one other zone take long and fail, while that zone's servers
 // are well. Reads go elsewhere; a write still goes to the primary there, and it does not count as restarted. Fails if
 // the server is judged by the way to it. A refusal that comes at once is the server's own.
 func TestSlowPathIsNotADeadServer(t *testing.T) {
@@ -1285,7 +1285,7 @@
 	}
 }
 
-// TestCutOffStoreIsNoSlowWay: one server of another zone is cut off, so that connections and probes to it fail at their time
+// TestCutOffServerIsNotASlowPath: one server of another zone is cut off, so that connections and probes to it fail at their time
 // limit, while others there answer as ever. Fails if that passes for a slow way and the server stays in use.
 func TestCutOffServerIsNotASlowPath(t *testing.T) {
 	g := newRig(t, testSettings(), Entry{Server: "a", Zone: 1}, Entry{Server: "b", Zone: 1})
@@ -1406,7 +1406,7 @@
 		set.RouterCount, set.SoftRemoval = siblings, true
 		var list []Entry
 		for i := range 500 {
-			list = append(list, Entry{Server: ServerID(fmt.Sprint("s", i)), Group: i % 100, Kind: i % 3})
+			list = append(list, Entry{Server: ServerID(fmt.Sprint("s", i)), Group: i % 100, MachineType: i % 3})
 		}
 		g := newRig(t, set, list...)
 		for i := range 1000 { // a thousand groups with one request each
--- a/state.go
+++ b/state.go
@@ -195,8 +195,8 @@
 	all, n := 0.0, 0.0
 	kinds := map[int][2]float64{} // of the rates against their kind's: the logarithms' sum, how many
 	for _, s := range r.order {
-		if k := kinds[s.entry.Kind]; s.answered != never {
-			kinds[s.entry.Kind] = [2]float64{k[0] + math.Log(s.rel), k[1] + 1}
+		if k := kinds[s.entry.MachineType]; s.answered != never {
+			kinds[s.entry.MachineType] = [2]float64{k[0] + math.Log(s.rel), k[1] + 1}
 			all, n = all+math.Log(r.base(s)), n+1
 		}
 	}
@@ -205,7 +205,7 @@
 		unit = 1
 	}
 	for _, s := range r.order {
-		if k := kinds[s.entry.Kind]; s.answered != never {
+		if k := kinds[s.entry.MachineType]; s.answered != never {
 			s.rel /= math.Exp(k[0] / k[1])
 		}
 		s.coldSpent /= unit
@@ -242,7 +242,7 @@
 	return w
 }
 
-func (r *Router) width(s *server) float64 { return r.widthOf(s.entry.Kind).is }
+func (r *Router) width(s *server) float64 { return r.widthOf(s.entry.MachineType).is }
 
 // ownAs is what one request of our own stands for where others' are not told: part of theirs.
 func (r *Router) ownAs() float64 { return 1 + othersLike*float64(r.set.RouterCount-1) }
@@ -256,7 +256,7 @@
 	}
 	c := a.req.class
 	c.lasts += max(1/lastsMemory, 1/(c.n+1)) * (took.Seconds() - c.lasts)
-	m := &r.widthOf(s.entry.Kind).times[min(widthSteps-1, int(2*math.Log2(max(1, float64(a.met)))))]
+	m := &r.widthOf(s.entry.MachineType).times[min(widthSteps-1, int(2*math.Log2(max(1, float64(a.met)))))]
 	m.n = min(widthMemory, m.n+1)
 	m.is += (took.Seconds()/max(1e-6, c.lasts*a.req.size) - m.is) / m.n
 }
