--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -27,8 +27,7 @@
 			continue
 		}
 		entry := beechgrade.Entry{Server: beechgrade.ServerID(n.ID), Group: n.Group,
-			MachineType: c.kinds.number(n.MachineType),
-			Zone: c.zones.number(n.Zone), Weight: n.Weight, Primary: n.Role == "primary"}
+			MachineType: c.kinds.number(n.MachineType), Zone: c.zones.number(n.Zone), Weight: n.Weight, Primary: n.Role == "primary"}
 		if n.StartedAtMs > 0 {
 			entry.StartedAt = clock.Duration(min(clock.FromUnix(n.StartedAtMs), now)) // one that lies ahead would be cold for ever
 		}
