--- a/health_test.go
+++ b/health_test.go
@@ -19,7 +19,7 @@
 	if g.r.servers["p"].health != down {
 		t.Fatalf("after two broken connections the server is at %d", g.r.servers["p"].health)
 	}
-	g.wantSend(g.pass(2*probeDown), "1", "p")
+	g.wantSend(g.pass(2*downProbeInterval), "1", "p")
 	g.wantNone(Probe, g.out)
 	g.end("1", 2, "p", OK)
 	if g.r.servers["p"].health != healthy {
@@ -37,17 +37,18 @@
 	g.end("1", 1, "p", Unreachable)
 	trials := 0
 	for no := 2; g.now < start+60*second; {
-		if len(finals(g.pass(probeDown/4))) > 0 || g.r.reqs["1"] == nil {
+		if len(finals(g.pass(downProbeInterval/4))) > 0 || g.r.requests["1"] == nil {
 			g.do(&Request{ID: "1", Class: cAny, Deadline: g.now + 30*second})
 			no = 0
 		}
-		for g.r.reqs["1"] != nil && g.r.reqs["1"].open > 0 {
+		for g.r.requests["1"] != nil && g.r.requests["1"].inFlight > 0 {
 			trials++
 			g.end("1", no, "p", Unreachable)
 			no++
 		}
 	}
-	if most := int(60*second/(probeDown<<probeMost)) + probeSoon + probeMost + 8; trials == 0 || trials > most {
+	if most := int(60*second/(downProbeInterval<<maxProbeDoublings)) + probeBackoffAfter + maxProbeDoublings + 8; trials == 0 ||
+		trials > most {
 		t.Errorf("%d trials in a minute, want 1 to %d", trials, most)
 	}
 }
--- a/router.go
+++ b/router.go
@@ -11,95 +11,185 @@
 )
 
 const (
-	beat         = 10 * time.Millisecond  // housekeeping step: a few ticks, well under any aim
-	refreshEvery = time.Second            // interval of corrections, memory of others' load (DESIGN)
-	stall        = 100 * time.Millisecond // a timer this late: we stood still; a failure: the way may be it
-	freeze       = time.Second            // shares hold this long after a pick (DESIGN's start value)
-	startWork    = 0.2                    // unheard class: work as part of its aim
-	startRate    = 1.0                    // unheard kind of server: the unit of work
-	startWidth   = 4.0                    // unheard kind of server: requests served at full rate each
-	workGain     = 0.02                   // weight of one answer in a class's average: memory of 50
-	hintMost     = 10.0                   // most that a work hint counts against its class's average
-	rateMemory   = 4.0                    // answers' worth of trust in the old rate at each refresh
-	rateMost     = 1e3                    // bound of any rate and its inverse
-	rateStep     = 2.0                    // most that a rate moves in one refresh, as a factor
-	minLeft      = 0.3                    // least remaining work, as part of the average
-	crowdShare   = 0.25                   // full: an average request takes this part of the least aim
-	fewRouters   = 8                      // up to so many, each knows most of what a server holds
-	hearFrom     = 1.5                    // answer after this many times its work: met others' load
-	tenantDepth  = 4.0                    // requests: least depth of a tenant's bucket
-	crowdOwn     = 0.8                    // ...or, none of ours there, this part of the time left
-	crowdRead    = 0.5                    // ...and a read no more than this part of the least aim
-	silentJobs   = 8.0                    // silent: this many mean gaps without an answer...
-	silentTurns  = 3.0                    // ...and this many mean request times
-	flowMemory   = 5 * time.Second        // memory of this router's own flow of requests
-	pickMemory   = 4.0                    // memory of where a group's requests went, in rounds of its members
-	askMost      = 2                      // servers asked for one read: the best two tell most of it
-	askWait      = 4                      // ticks that a read waits for what it asked
-	othersLike   = 0.5                    // a guess counts at most as this part of our own, for each other
-	trialJobs    = 3                      // requests at once on trial: one may be lost and prove nothing
-	lostAfter    = 6.0                    // mislaid: an attempt has had this many times its work...
-	lostLeast    = 3.0                    // ...or, where many are, fewer down to this...
-	lostPassed   = 3                      // ...and this many later ones were answered before it
-	lostMemory   = 300                    // attempts: memory of how many were lost
-	longRead     = 2.0                    // times the average work: a read so long holds up the log
-	rankCost     = 4.0                    // times its own cost that such a read costs more at the last member
-	repeatValue  = 0.2                    // a repeat's aim runs from its first try: mostly gone
-	probeDown    = 200 * time.Millisecond // between probes of a server thought down
-	probeSoon    = 4                      // probes that may fail before the pause grows
-	probeMost    = 4                      // doublings of that while probes go on failing
-	failMemory   = 4 * time.Second        // fading of that chance
-	wayMemory    = 10 * time.Second       // fading of what the way to a zone was seen to take
-	watchEach    = 20 * time.Millisecond  // of the list for one router's call: all in some seconds...
-	watchMost    = 5 * time.Second / 2    // ...but none later: what a silent watch misses is told in 6 s
-	coldMargin   = 0.5                    // part of the fall budget to use: estimates are rough
-	watchSoon    = 100 * time.Millisecond // before subscribing anew, plus jitter of the same...
-	watchPause   = time.Second            // ...doubled up to this while it fails within as long
-	outage       = time.Second            // refusing for this long means a restarted process
-	sessionsKept = 20000                  // sessions in a generation of remembered commits
-	goneKeep     = 30 * time.Second       // before a vanished server is forgotten
-	widthMemory  = 300.0                  // answers: memory of the time that they take by our requests there
-	widthLeast   = 60.0                   // fewer prove nothing
-	widthTight   = 1.3                    // times as long as at the least load: there were too many
-	widthTry     = 1.5                    // where the most seen were not: times as many are tried
-	widthPace    = 1.1                    // most that a width moves in one refresh, as a factor
-	lastsMemory  = 1e4                    // answers: memory of the time that a class's take
-	dueMargin    = 2                      // ticks before a request's end at which it gets its answer
+	// housekeepingInterval is the time between housekeeping runs while requests are open. It is a few ticks,
+	// and far below any latency target.
+	housekeepingInterval = 10 * time.Millisecond
+	// refreshInterval is the time between corrections of the server rates. A load report loses its weight
+	// over twice this time. The value is from DESIGN.
+	refreshInterval = time.Second
+	// pauseThreshold is the delay from which a late timer means that this process was paused. A connection or
+	// probe that fails after at least this time may have failed on the path to the server.
+	pauseThreshold = 100 * time.Millisecond
+	// shareFreeze is how long the cost uses the rate share that a server had just after a pick. It is the
+	// start value given in DESIGN.
+	shareFreeze = time.Second
+
+	// initialWork is the work of a class without answers, as a fraction of its latency target.
+	initialWork = 0.2
+	// initialRate is the rate of a machine type without answers. It defines the unit of work.
+	initialRate = 1.0
+	// initialLimit is the concurrency limit of a machine type without answers: how many requests a server
+	// processes at the full rate each. No limit falls below it.
+	initialLimit = 4.0
+	// minWorkGain is the least weight of one answer in the average work of its class, and of one hint in the
+	// average hint: a memory of 50 answers.
+	minWorkGain = 0.02
+	// maxHintRatio bounds the ratio of a request's work hint to the average hint of its class.
+	maxHintRatio = 10.0
+	// minRemainingWork is the least work counted as left in a request in flight, as a fraction of its
+	// expected work.
+	minRemainingWork = 0.3
+
+	// rateMemory is the weight of the old rate at each refresh, in answers of average work.
+	rateMemory = 4.0
+	// maxRate bounds the rates, and 1/maxRate bounds them from below.
+	maxRate = 1e3
+	// maxRateStep is the largest factor by which a rate changes in one refresh.
+	maxRateStep = 2.0
+
+	// overLimitMeanShare bounds the time of an average request on a server over its concurrency limit that
+	// still takes one more, as a fraction of the smallest latency target.
+	overLimitMeanShare = 0.25
+	// overLimitIdleShare applies where this router has nothing in flight at the server: the server also takes
+	// a request whose own time is at most this fraction of the time left until its latency target.
+	overLimitIdleShare = 0.8
+	// overLimitReadShare restricts overLimitIdleShare for reads if there are more than fewRouters routers: an
+	// average request must take at most this fraction of the smallest latency target.
+	overLimitReadShare = 0.5
+	// fewRouters is the number of routers up to which each one sees most of a server's load itself.
+	fewRouters = 8
+	// loadInferenceRatio is the ratio of an answer's time to the time of its work alone above which the
+	// answer shows load from other routers.
+	loadInferenceRatio = 1.5
+	// maxOthersRatio bounds the estimated load of each other router where it counts as evidence, as a
+	// fraction of this router's own requests in flight at the server.
+	maxOthersRatio = 0.5
+
+	// minTenantBurst is the least depth of a tenant's token bucket, in requests.
+	minTenantBurst = 4.0
+	// requestRateMemory is the time constant of this router's measured request rate.
+	requestRateMemory = 5 * time.Second
+	// trafficShareMemory is the memory of where a group's requests went, in requests for each member.
+	trafficShareMemory = 4.0
+	// maxProbesPerRequest is how many servers are probed for one request. The two cheapest ones give most of
+	// the information.
+	maxProbesPerRequest = 2
+	// probeWaitTicks is how long a request waits for the probes sent for it, in ticks.
+	probeWaitTicks = 4
+
+	// silentGaps is how many mean gaps between answers must pass without one before a server is silent.
+	silentGaps = 8.0
+	// silentServiceTimes is how many service times of a request are added to those gaps.
+	silentServiceTimes = 3.0
+	// trialRequests is how many requests may be in flight at a server on trial. A single request could be
+	// lost and prove nothing.
+	trialRequests = 3
+
+	// maxLostRatio is the service, as a multiple of its expected work, after which an overtaken attempt is
+	// presumed lost.
+	maxLostRatio = 6.0
+	// minLostRatio is the least value to which that multiple falls where many attempts are lost.
+	minLostRatio = 3.0
+	// lostOvertakenBy is how many later attempts must be answered before an attempt is presumed lost.
+	lostOvertakenBy = 3
+	// lossRateMemory is the memory of the loss rate, in attempts.
+	lossRateMemory = 300
+
+	// longReadRatio is the multiple of the average work from which a read of any data is long. A long read
+	// delays the replay of the log on the server that runs it.
+	longReadRatio = 2.0
+	// fillOrderCost is how much the cost of a long read increases from the first member of its group to the
+	// last, as a multiple of the cost itself.
+	fillOrderCost = 4.0
+	// retryValueFactor is the part of its value that a client's retry has. The latency target counts from
+	// the first try and has mostly passed by then.
+	retryValueFactor = 0.2
+
+	// downProbeInterval is the time between probes of a server that is down.
+	downProbeInterval = 200 * time.Millisecond
+	// probeBackoffAfter is how many probes in a row may fail before that interval grows.
+	probeBackoffAfter = 4
+	// maxProbeDoublings is how many times the interval doubles while probes keep failing.
+	maxProbeDoublings = 4
+	// failureMemory is the time over which a server's failure chance falls to zero without new answers.
+	failureMemory = 4 * time.Second
+	// zoneLatencyMemory is the time over which a measured zone latency falls to zero.
+	zoneLatencyMemory = 10 * time.Second
+	// restartOutage is how long a server must refuse connections to be treated as restarted.
+	restartOutage = time.Second
+	// coldBudgetShare is the part of the overload budget of a cold server that is used, since the estimates
+	// behind it are rough.
+	coldBudgetShare = 0.5
+
+	// subscribeSpacing is the time that the discovery service has for the subscribe call of each router, so
+	// that the calls of all routers spread over a few seconds.
+	subscribeSpacing = 20 * time.Millisecond
+	// maxSubscribeDelay bounds the delay of a subscribe call, however many routers there are. The changes
+	// that a silent watch missed then arrive within 6 s.
+	maxSubscribeDelay = 5 * time.Second / 2
+	// minSubscribePause is the pause before subscribing again. Jitter of up to the same time is added.
+	minSubscribePause = 100 * time.Millisecond
+	// maxSubscribePause bounds the pause, which doubles with each subscription that ends within this time.
+	maxSubscribePause = time.Second
+
+	// maxSessions is how many sessions' commits are remembered before all of them are dropped at once.
+	maxSessions = 20000
+	// removedRetention is how long a removed server is remembered.
+	removedRetention = 30 * time.Second
+
+	// limitMemory is the memory of the latency at each load step, in answers.
+	limitMemory = 300.0
+	// minLimitSamples is how many answers a load step needs before it counts.
+	minLimitSamples = 60.0
+	// limitSlowdown is the ratio to the latency at the lowest load above which a step had too many requests.
+	limitSlowdown = 1.3
+	// limitGrowth is the multiple of the highest observed load that is tried as the limit where even that
+	// load did not slow answers down.
+	limitGrowth = 1.5
+	// maxLimitStep is the largest factor by which a concurrency limit changes in one refresh.
+	maxLimitStep = 1.1
+	// meanLatencyMemory is the memory of a class's mean latency, in answers.
+	meanLatencyMemory = 1e4
+
+	// deadlineMarginTicks is how many ticks before its deadline a request gets its final answer.
+	deadlineMarginTicks = 2
 )
 
 // New makes a router. The seed is its only source of randomness.
-func New(set Settings, seed uint64) *Router {
-	r := &Router{set: set, rng: rand.New(rand.NewPCG(seed, 0)), servers: map[ServerID]*server{},
-		groups: map[int]*group{}, reqs: map[RequestID]*request{}, forgotten: never,
-		pools: map[int]float64{}, widths: map[int]*width{}, ways: map[int]way{}, wakeAt: never}
-	r.set.RouterCount = max(1, set.RouterCount)
-	r.set.MaxAttempts = max(1, set.MaxAttempts)
-	for _, c := range set.Classes {
-		r.classes = append(r.classes, class{Class: c, work: max(1e-3, startWork*c.LatencyTarget.Seconds())})
-		r.work += r.classes[len(r.classes)-1].work / float64(len(set.Classes))
-		if c.LatencyTarget > 0 && (r.leastAim == 0 || c.LatencyTarget < r.leastAim) {
-			r.leastAim = c.LatencyTarget
-		}
-	}
-	r.seekEach = max(r.leastAim/2, beat)
-	r.tenants = make([]tenant, len(set.Tenants))
+func New(cfg Settings, seed uint64) *Router {
+	r := &Router{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0)), servers: map[ServerID]*server{},
+		groups: map[int]*group{}, requests: map[RequestID]*request{}, forgottenCommit: never,
+		machineRates: map[int]float64{}, concurrencyLimits: map[int]*concurrencyLimit{},
+		zoneLatencies: map[int]zoneLatency{}, timerAt: never}
+	r.cfg.RouterCount = max(1, cfg.RouterCount)
+	r.cfg.MaxAttempts = max(1, cfg.MaxAttempts)
+	for _, c := range cfg.Classes {
+		r.classes = append(r.classes,
+			class{Class: c, meanWork: max(1e-3, initialWork*c.LatencyTarget.Seconds())})
+		r.meanWork += r.classes[len(r.classes)-1].meanWork / float64(len(cfg.Classes))
+		if c.LatencyTarget > 0 && (r.minLatencyTarget == 0 || c.LatencyTarget < r.minLatencyTarget) {
+			r.minLatencyTarget = c.LatencyTarget
+		}
+	}
+	r.primarySearchInterval = max(r.minLatencyTarget/2, housekeepingInterval)
+	r.tenants = make([]tenant, len(cfg.Tenants))
 	return r
 }
 
 // Handle takes one event at time now and appends what is to be done to out.
 func (r *Router) Handle(now Time, e Event, out []Action) []Action {
-	r.now, r.out = max(now, r.now), out
-	if r.refreshAt == 0 {
-		r.flowAt, r.refreshAt, r.rewatchAt = r.now, r.now+refreshEvery, math.MaxInt64
-		if r.set.SubscribeList {
-			r.rewatch(0)
+	r.now, r.actions = max(now, r.now), out
+	if r.nextRefresh == 0 {
+		r.rateUpdatedAt, r.nextRefresh, r.nextSubscribe = r.now, r.now+refreshInterval, math.MaxInt64
+		if r.cfg.SubscribeList {
+			r.scheduleSubscribe(0)
 		}
 	}
-	if r.wakeAt != never && r.now-r.wakeAt > stall {
+	if r.timerAt != never && r.now-r.timerAt > pauseThreshold {
 		// Our own standstill must not count against servers. One that died meanwhile is silent a little
 		// later.
-		r.wakeAt = r.now
-		r.blurOpen()
+		r.timerAt = r.now
+		r.markAllUntimed()
 	}
 	switch e := e.(type) {
 	case *Request:
@@ -107,189 +197,205 @@
 	case *Outcome:
 		r.onOutcome(e)
 	case *Abandoned:
-		if q := r.reqs[e.ID]; q != nil {
-			r.forget(q)
+		if q := r.requests[e.ID]; q != nil {
+			r.forgetRequest(q)
 		}
 	case *ProbeResult:
-		r.onProbe(e)
+		r.onProbeResult(e)
 	case *List:
 		r.onList(e)
 	case *Timer:
-		r.wakeAt = never
-		r.onBeat()
+		r.timerAt = never
+		r.onTimer()
 	}
-	if r.now >= r.rewatchAt {
-		r.rewatchAt, r.watchedAt = math.MaxInt64, r.now
-		r.act(Action{Kind: Subscribe})
+	if r.now >= r.nextSubscribe {
+		r.nextSubscribe, r.lastSubscribe = math.MaxInt64, r.now
+		r.emit(Action{Kind: Subscribe})
 	}
 	// A timer only while something is open or due: hundreds of idle routers cost nothing.
-	if r.wakeAt == never && (len(r.reqs) > 0 || r.open > 0 || r.rewatchAt < math.MaxInt64) {
-		r.wakeAt = r.now + beat
-		r.act(Action{Kind: SetTimer, At: r.wakeAt})
+	if r.timerAt == never && (len(r.requests) > 0 || r.inFlight > 0 || r.nextSubscribe < math.MaxInt64) {
+		r.timerAt = r.now + housekeepingInterval
+		r.emit(Action{Kind: SetTimer, At: r.timerAt})
 	}
-	return r.out
+	return r.actions
 }
 
-func (r *Router) act(a Action) { r.out = append(r.out, a) }
+func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
 
-// warmth is the part of its capacity that a server can be counted on for.
-func (r *Router) warmth(s *server) float64 {
-	age := r.now - s.coldFrom
-	if r.set.ColdDuration <= 0 || age >= r.set.ColdDuration {
+// capacityFraction is the part of its capacity that a server can be counted on for.
+func (r *Router) capacityFraction(s *server) float64 {
+	age := r.now - s.coldSince
+	if r.cfg.ColdDuration <= 0 || age >= r.cfg.ColdDuration {
 		return 1
 	}
-	return r.set.ColdCapacity + (1-r.set.ColdCapacity)*max(0, age.Seconds())/r.set.ColdDuration.Seconds()
+	return r.cfg.ColdCapacity + (1-r.cfg.ColdCapacity)*max(0, age.Seconds())/r.cfg.ColdDuration.Seconds()
 }
 
-// base is a server's rate when warm: its kind's, taught by all answers, times its own; one hears little.
-func (r *Router) base(s *server) float64 { return r.pools[s.entry.MachineType] * s.rel }
+// warmRate is a server's rate when warm: its kind's, taught by all answers, times its own; one hears
+// little.
+func (r *Router) warmRate(s *server) float64 {
+	return r.machineRates[s.entry.MachineType] * s.relativeRate
+}
 
-func (r *Router) turn(s *server) Time { return seconds(r.work / r.rateOf(s)) }
+func (r *Router) meanServiceTime(s *server) Time { return seconds(r.meanWork / r.currentRate(s)) }
 
 func seconds(x float64) Time { return Time(x * float64(time.Second)) }
 
-// rateOf is the rate for one request alone now. A cold server's old good rate would win every pick otherwise.
-func (r *Router) rateOf(s *server) float64 { return r.base(s) * r.warmth(s) }
+// currentRate is the rate for one request alone now. A cold server's old good rate would win every pick
+// otherwise.
+func (r *Router) currentRate(s *server) float64 { return r.warmRate(s) * r.capacityFraction(s) }
 
-// fading is what is left, from 1 to 0, of something last heard of then.
-func (r *Router) fading(at Time, memory time.Duration) float64 {
+// freshness is what is left, from 1 to 0, of something last heard of then.
+func (r *Router) freshness(at Time, memory time.Duration) float64 {
 	return max(0, 1-(r.now-at).Seconds()/memory.Seconds())
 }
 
-// load is the number of requests at a server, ours but for those thought lost, and others': what was told of
-// them fades towards a guess, as many routers that each see an idle server would crowd it together. A guess
-// may steer, but not refuse: as evidence, it counts no more than if each other router had as many there.
+// load is the number of requests at a server, ours but for those thought lost, and others': what was told
+// of them fades towards a guess, as many routers that each see an idle server would crowd it together. A
+// guess may steer, but not refuse: as evidence, it counts no more than if each other router had as many
+// there.
 func (r *Router) load(s *server) (likely, evident float64) {
-	own := float64(len(s.open) - s.lost)
-	fresh := r.fading(s.heardAt, 2*refreshEvery)
-	guess := (1 - fresh) * r.guess(s)
-	own += s.told * fresh
-	return own + guess, own + min(guess, othersLike*float64((len(s.open)-s.lost)*(r.set.RouterCount-1)))
+	own := float64(len(s.inFlight) - s.presumedLost)
+	fresh := r.freshness(s.loadReportedAt, 2*refreshInterval)
+	estimate := (1 - fresh) * r.estimateOthersLoad(s)
+	own += s.othersInFlight * fresh
+	return own + estimate, own + min(estimate,
+		maxOthersRatio*float64((len(s.inFlight)-s.presumedLost)*(r.cfg.RouterCount-1)))
 }
 
-// advance moves a server's virtual service up to now; call it before its load changes.
-func (r *Router) advance(s *server) {
-	if dt := (r.now - s.serviceAt).Seconds(); dt > 0 {
+// advanceService moves a server's virtual service up to now; call it before its load changes.
+func (r *Router) advanceService(s *server) {
+	if elapsed := (r.now - s.serviceUpdatedAt).Seconds(); elapsed > 0 {
 		n, _ := r.load(s)
-		s.service += dt * r.share(s, n) * r.warmth(s)
+		s.service += elapsed * r.rateShare(s, n) * r.capacityFraction(s)
 	}
-	s.serviceAt = r.now
+	s.serviceUpdatedAt = r.now
 }
 
-// guess is what the other routers are taken to have in flight at a server: each as much as this one, on
-// average. One that seldom has a request out goes round the members at the pace of their rates.
-func (r *Router) guess(s *server) float64 {
-	n := float64(r.set.RouterCount-1) * r.perGroup(r.flow) * s.part * r.work / r.rateOf(s)
-	use := min(0.95, n/r.width(s))
-	return n / (1 - use*use) // and what waits there, which grows with use
+// estimateOthersLoad is what the other routers are taken to have in flight at a server: each as much as
+// this one, on average. One that seldom has a request out goes round the members at the pace of their
+// rates.
+func (r *Router) estimateOthersLoad(s *server) float64 {
+	n := float64(r.cfg.RouterCount-1) * r.perGroup(r.requestRate) * s.trafficShare * r.meanWork /
+		r.currentRate(s)
+	utilization := min(0.95, n/r.concurrencyLimit(s))
+	return n / (1 - utilization*utilization) // and what waits there, which grows with use
 }
 
 // cost is equation 2 of the paper: the read's own time at its max-min fair share plus the slowdown of this
 // router's requests there, each by its worth against the read's: so a primary full of writes is spared.
-func (r *Router) cost(s *server, q *request) (cost, left float64) {
-	r.advance(s)
-	rate := r.rateOf(s)
+func (r *Router) cost(s *server, q *request) (cost, shareAfter float64) {
+	r.advanceService(s)
+	rate := r.currentRate(s)
 	n, _ := r.load(s)
-	now, left := rate*r.share(s, n), rate*r.share(s, n+1)
+	shareNow, shareAfter := rate*r.rateShare(s, n), rate*r.rateShare(s, n+1)
 	if r.now < s.frozenUntil {
-		now = min(rate, s.frozenShare)
-		left = min(left, now)
+		shareNow = min(rate, s.frozenShare)
+		shareAfter = min(shareAfter, shareNow)
 	}
-	cost = q.work() / left
-	for _, a := range s.open {
-		w := a.req.work()
-		rest := max(w-(s.service-a.service)*rate, minLeft*w)
-		cost += (rest/left - rest/now) * a.req.value / q.value
+	cost = q.expectedWork() / shareAfter
+	for _, a := range s.inFlight {
+		w := a.req.expectedWork()
+		rest := max(w-(s.service-a.serviceAtSend)*rate, minRemainingWork*w)
+		cost += (rest/shareAfter - rest/shareNow) * a.req.value / q.value
 	}
 	// A failed answer comes quickly and leaves its server idle: without its chance a failing server
 	// wins picks.
-	cost /= 1 - r.failing(s)
-	if s.entry.Zone != r.set.Zone {
-		cost += r.set.CrossZoneCost * q.class.LatencyTarget.Seconds() // in time: a worth is an aim
+	cost /= 1 - r.failureChance(s)
+	if s.entry.Zone != r.cfg.Zone {
+		cost += r.cfg.CrossZoneCost * q.class.LatencyTarget.Seconds() // in time: a worth is an aim
 	}
-	cost += r.way(s)
-	return cost, left
+	cost += r.zoneLatency(s)
+	return cost, shareAfter
 }
 
-// way is the time that probes into the server's zone took lately. A slow way must not be taken for slow or
-// dead servers: they are well in their own zone, and a primary there still takes writes.
-func (r *Router) way(s *server) float64 {
-	return r.ways[s.entry.Zone].slow * r.fading(r.ways[s.entry.Zone].at, wayMemory)
+// zoneLatency is the time that probes into the server's zone took lately. A slow way must not be taken for
+// slow or dead servers: they are well in their own zone, and a primary there still takes writes.
+func (r *Router) zoneLatency(s *server) float64 {
+	return r.zoneLatencies[s.entry.Zone].latency *
+		r.freshness(r.zoneLatencies[s.entry.Zone].measuredAt, zoneLatencyMemory)
 }
 
-// room tells whether a server can take one more: without making requests there too slow for the least aim,
-// or, where none is ours, this one. What finds no room waits here, for whichever server frees first.
-func (r *Router) room(s *server, q *request) bool {
-	if r.now < s.fullUntil || s.health == onTrial && len(s.open)-s.lost >= trialJobs {
+// hasCapacity tells whether a server can take one more: without making requests there too slow for the
+// least aim, or, where none is ours, this one. What finds no room waits here, for whichever server frees
+// first.
+func (r *Router) hasCapacity(s *server, q *request) bool {
+	if r.now < s.overloadedUntil || s.health == onTrial && len(s.inFlight)-s.presumedLost >= trialRequests {
 		return false
 	}
 	_, n := r.load(s)
-	n, warm := n+1, r.warmth(s)
-	if warm < 1 && !r.coldRoom(s, q) {
+	n, fraction := n+1, r.capacityFraction(s)
+	if fraction < 1 && !r.slowStartAdmits(s, q) {
 		return false
 	}
-	if n <= r.width(s)*warm {
+	if n <= r.concurrencyLimit(s)*fraction {
 		return true
 	}
-	rate := r.rateOf(s) * r.share(s, n)
-	return len(s.open) == 0 && q.work()/rate <= crowdOwn*(q.aim-r.now).Seconds() &&
-		(q.primaryOnly() || fewRouters >= r.set.RouterCount ||
-			r.work/rate <= crowdRead*r.leastAim.Seconds()) ||
-		r.work/rate <= crowdShare*r.leastAim.Seconds()
+	rate := r.currentRate(s) * r.rateShare(s, n)
+	return len(s.inFlight) == 0 &&
+		q.expectedWork()/rate <= overLimitIdleShare*(q.targetTime-r.now).Seconds() &&
+		(q.primaryOnly() || fewRouters >= r.cfg.RouterCount ||
+			r.meanWork/rate <= overLimitReadShare*r.minLatencyTarget.Seconds()) ||
+		r.meanWork/rate <= overLimitMeanShare*r.minLatencyTarget.Seconds()
 }
 
 // perGroup is a group's part of this router's own flow.
-func (r *Router) perGroup(flow float64) float64 { return flow / float64(max(1, len(r.gorder))) }
+func (r *Router) perGroup(flow float64) float64 { return flow / float64(max(1, len(r.sortedGroups))) }
 
-// spare tells whether a primary has more than the writes and fresh reads of all routers need, judged by this
-// router's own. Reads can go elsewhere, they cannot; few routers see enough of them to spare it by cost.
-func (r *Router) spare(s *server) bool {
-	if fewRouters >= r.set.RouterCount {
+// primaryHasSpare tells whether a primary has more than the writes and fresh reads of all routers need,
+// judged by this router's own. Reads can go elsewhere, they cannot; few routers see enough of them to spare
+// it by cost.
+func (r *Router) primaryHasSpare(s *server) bool {
+	if fewRouters >= r.cfg.RouterCount {
 		return true
 	}
 	_, n := r.load(s)
-	return n+1+float64(r.set.RouterCount)*r.perGroup(r.musts)/r.rateOf(s) <= r.width(s)*r.warmth(s)
+	return n+1+float64(r.cfg.RouterCount)*r.perGroup(r.primaryWorkRate)/r.currentRate(s) <=
+		r.concurrencyLimit(s)*r.capacityFraction(s)
 }
 
-// work is the request's expected work: its class's average, by its hint where it came with one.
-func (q *request) work() float64 { return q.class.work * q.size }
+// expectedWork is the request's expected work: its class's average, by its hint where it came with one.
+func (q *request) expectedWork() float64 { return q.class.meanWork * q.relativeWork }
 
-// coldRoom keeps the fall rule: this router's part of the budget of all, as a leaky bucket of half a span.
-// Where that is less than a request, chance lets through what all together may send of what they are asked
-// for: a bucket of each would hold credit where nothing is asked, and writes would wait at an idle cold
-// primary. Each member takes a part of its own of the requests: after a release all are cold at once.
-func (r *Router) coldRoom(s *server, q *request) bool {
-	if r.set.OverloadMultiple <= 0 || r.set.OverloadTime <= 0 {
+// slowStartAdmits keeps the fall rule: this router's part of the budget of all, as a leaky bucket of half a
+// span. Where that is less than a request, chance lets through what all together may send of what they are
+// asked for: a bucket of each would hold credit where nothing is asked, and writes would wait at an idle
+// cold primary. Each member takes a part of its own of the requests: after a release all are cold at once.
+func (r *Router) slowStartAdmits(s *server, q *request) bool {
+	if r.cfg.OverloadMultiple <= 0 || r.cfg.OverloadTime <= 0 {
 		return true
 	}
-	part := coldMargin * r.set.OverloadMultiple * r.rateOf(s) * startWidth / float64(r.set.RouterCount)
-	depth := part/2*r.set.OverloadTime.Seconds() - q.work()
+	budget := coldBudgetShare * r.cfg.OverloadMultiple * r.currentRate(s) * initialLimit /
+		float64(r.cfg.RouterCount)
+	depth := budget/2*r.cfg.OverloadTime.Seconds() - q.expectedWork()
 	if depth < 0 {
-		place := math.Phi * float64(slices.Index(q.group.members, s))
-		asked, musts := r.perGroup(r.flow)*r.work, r.perGroup(r.musts)
+		offset := math.Phi * float64(slices.Index(q.group.members, s))
+		demand, primaryDemand := r.perGroup(r.requestRate)*r.meanWork, r.perGroup(r.primaryWorkRate)
 		if s == r.primary(q.group) && q.primaryOnly() {
-			asked = musts
+			demand = primaryDemand
 		} else if s == r.primary(q.group) {
-			part -= musts // reads can go elsewhere
+			budget -= primaryDemand // reads can go elsewhere
 		}
-		return math.Mod(q.luck+place, 1)*asked < part
+		return math.Mod(q.admissionDraw+offset, 1)*demand < budget
 	}
-	s.coldSpent = max(0, s.coldSpent-part/2*(r.now-s.coldSpentAt).Seconds())
-	s.coldSpentAt = r.now
-	return s.coldSpent <= depth
+	s.coldWork = max(0, s.coldWork-budget/2*(r.now-s.coldWorkAt).Seconds())
+	s.coldWorkAt = r.now
+	return s.coldWork <= depth
 }
 
-// qualifies tells whether a server's data is known to be new enough, and whether it may be: by pace or time.
-func (r *Router) qualifies(s *server, q *request) (known, likely bool) {
-	need := q.need
+// freshEnough tells whether a server's data is known to be new enough, and whether it may be: by pace or
+// time.
+func (r *Router) freshEnough(s *server, q *request) (known, likely bool) {
+	minPosition := q.minPosition
 	if q.class.Read == ReadBounded {
-		need = r.now - q.class.StalenessBound
+		minPosition = r.now - q.class.StalenessBound
 	}
-	if need == never || s == r.primary(q.group) || s.position >= need {
+	if minPosition == never || s == r.primary(q.group) || s.position >= minPosition {
 		return true, true
 	}
-	return false, s.position == never || r.now-s.placedAt > max(r.seekEach, s.placedAt-s.position) ||
-		s.position+time.Duration(float64(r.now-s.positionAt)*s.pace) >= need
+	return false, s.position == never ||
+		r.now-s.positionReportedAt > max(r.primarySearchInterval, s.positionReportedAt-s.position) ||
+		s.position+time.Duration(float64(r.now-s.positionAt)*s.applyRate) >= minPosition
 }
 
 // primary is the group's primary by the latest evidence, or nil while none is known.
@@ -305,60 +411,61 @@
 
 func (q *request) primaryOnly() bool { return q.class.Read == Write || q.class.Read == ReadFresh }
 
-func (s *server) usable() bool { return s.listed() && s.health != down }
+func (s *server) usable() bool { return s.allowedByList() && s.health != down }
 
-// listed tells whether the list lets it be used: where only draining binds, a server that vanished may be.
-func (s *server) listed() bool { return !s.draining && (s.gone == 0 || s.soft) }
+// allowedByList tells whether the list lets it be used: where only draining binds, a server that vanished
+// may be.
+func (s *server) allowedByList() bool { return !s.draining && (s.removedAt == 0 || s.softRemoval) }
 
-// choose finds the server for a request, or nil if it has to wait.
-func (r *Router) choose(q *request) *server {
+// chooseServer finds the server for a request, or nil if it has to wait.
+func (r *Router) chooseServer(q *request) *server {
 	p := r.primary(q.group)
 	if q.primaryOnly() {
-		if p != nil && p.usable() && r.room(p, q) && !r.ask(q, p) {
+		if p != nil && p.usable() && r.hasCapacity(p, q) && !r.awaitsProbe(q, p) {
 			return p
 		}
 		return nil
 	}
-	var best, next, sure *server
-	least, second, known := math.Inf(1), math.Inf(1), math.Inf(1)
+	var best, next, bestKnown *server
+	leastCost, secondCost, knownCost := math.Inf(1), math.Inf(1), math.Inf(1)
 	for _, s := range q.group.members {
-		if !s.usable() || len(q.tries) < len(q.group.members) && q.tried(s) || !r.room(s, q) ||
-			s == p && !r.spare(s) {
+		if !s.usable() || len(q.attempts) < len(q.group.members) && q.triedOn(s) || !r.hasCapacity(s, q) ||
+			s == p && !r.primaryHasSpare(s) {
 			continue
 		}
-		is, may := r.qualifies(s, q)
-		if !is && !may {
+		fresh, maybeFresh := r.freshEnough(s, q)
+		if !fresh && !maybeFresh {
 			continue
 		}
 		c, _ := r.cost(s, q)
-		if q.class.Read == ReadAny && q.class.work > longRead*r.work {
-			c *= 1 + rankCost*r.rank(s)
+		if q.class.Read == ReadAny && q.class.meanWork > longReadRatio*r.meanWork {
+			c *= 1 + fillOrderCost*r.fillOrder(s)
 		}
-		if !is { // a wrong guess costs a turn; where servers do not check, they are asked first
-			c += (2 * r.set.Tick).Seconds() + r.price(q)
+		if !fresh { // a wrong guess costs a turn; where servers do not check, they are asked first
+			c += (2 * r.cfg.Tick).Seconds() + r.probeCost(q)
 		}
-		if (is || r.set.LagPolicy != LagServesStale) && c < known {
-			sure, known = s, c
+		if (fresh || r.cfg.LagPolicy != LagServesStale) && c < knownCost {
+			bestKnown, knownCost = s, c
 		}
-		if c < least {
-			next, second, best, least = best, least, s, c
-		} else if c < second {
-			next, second = s, c
+		if c < leastCost {
+			next, secondCost, best, leastCost = best, leastCost, s, c
+		} else if c < secondCost {
+			next, secondCost = s, c
 		}
 	}
-	wait := best != nil && r.ask(q, best)
-	if next != nil && second <= 2*least { // one that might turn out best
-		wait = r.ask(q, next) || wait
+	wait := best != nil && r.awaitsProbe(q, best)
+	if next != nil && secondCost <= 2*leastCost { // one that might turn out best
+		wait = r.awaitsProbe(q, next) || wait
 	}
 	if wait {
 		return nil
 	}
-	return sure
+	return bestKnown
 }
 
-// rank orders a group's members, from 0 to 1, alike for all routers, the primary last. Long reads that take
-// any data hold up the log where they run: they fill member after member, so that the others keep up.
-func (r *Router) rank(s *server) float64 {
+// fillOrder orders a group's members, from 0 to 1, alike for all routers, the primary last. Long reads that
+// take any data hold up the log where they run: they fill member after member, so that the others keep up.
+func (r *Router) fillOrder(s *server) float64 {
 	before := 0
 	for _, o := range s.group.members {
 		if s == r.primary(s.group) || o.usable() && o.id < s.id {
@@ -368,221 +475,226 @@
 	return float64(before) / float64(len(s.group.members))
 }
 
-func (r *Router) price(q *request) float64 { return r.set.ProbeCost * q.class.LatencyTarget.Seconds() }
+func (r *Router) probeCost(q *request) float64 {
+	return r.cfg.ProbeCost * q.class.LatencyTarget.Seconds()
+}
 
-// ask probes a server for a request and tells whether to wait for that: because its position must be known,
-// or because what others seem to have waiting there costs more than a probe.
-func (r *Router) ask(q *request, s *server) bool {
-	is, _ := r.qualifies(s, q)
+// awaitsProbe probes a server for a request and tells whether to wait for that: because its position must
+// be known, or because what others seem to have waiting there costs more than a probe.
+func (r *Router) awaitsProbe(q *request, s *server) bool {
+	fresh, _ := r.freshEnough(s, q)
 	n, _ := r.load(s)
-	slow := q.work() / r.rateOf(s) * (1/r.share(s, n) - 1)
-	if (is || r.set.LagPolicy != LagServesStale) &&
-		(!r.loadTold || r.now-s.heardAt <= r.leastAim/4 || slow <= r.price(q)) || !r.set.MayProbe {
+	queueing := q.expectedWork() / r.currentRate(s) * (1/r.rateShare(s, n) - 1)
+	if (fresh || r.cfg.LagPolicy != LagServesStale) &&
+		(!r.loadReported || r.now-s.loadReportedAt <= r.minLatencyTarget/4 ||
+			queueing <= r.probeCost(q)) || !r.cfg.MayProbe {
 		return false
 	}
 	if !s.probing {
-		if q.asked >= askMost {
+		if q.probeCount >= maxProbesPerRequest {
 			return false
 		}
-		q.asked++
-		q.askUntil = r.now + askWait*r.set.Tick
+		q.probeCount++
+		q.awaitProbesUntil = r.now + probeWaitTicks*r.cfg.Tick
 		r.probe(s, 0)
 	}
-	return r.now < q.askUntil
+	return r.now < q.awaitProbesUntil
 }
 
-// spent tells that a request may not go again: if it may have run, an unsafe one never, a keyed one in time.
-func (r *Router) spent(q *request) bool {
-	return len(q.tries) >= r.set.MaxAttempts || q.open > 0 && !r.set.MayDuplicate ||
-		q.maybe && (q.class.Effect == Unsafe ||
-			q.class.Effect == Deduplicated && r.now+r.set.Tick >= q.maybeAt+q.class.DedupWindow)
+// attemptsExhausted tells that a request may not go again: if it may have run, an unsafe one never, a keyed
+// one in time.
+func (r *Router) attemptsExhausted(q *request) bool {
+	return len(q.attempts) >= r.cfg.MaxAttempts || q.inFlight > 0 && !r.cfg.MayDuplicate ||
+		q.possiblyRan && (q.class.Effect == Unsafe ||
+			q.class.Effect == Deduplicated && r.now+r.cfg.Tick >= q.possiblyRanSent+q.class.DedupWindow)
 }
 
-func (q *request) mayHaveRun(a *attempt, s *server) {
-	if !q.maybe || a.sent < q.maybeAt {
-		q.maybe, q.maybeAt, q.maybeZone = true, a.sent, s.entry.Zone
+func (q *request) notePossiblyRan(a *attempt, s *server) {
+	if !q.possiblyRan || a.sentAt < q.possiblyRanSent {
+		q.possiblyRan, q.possiblyRanSent, q.possiblyRanZone = true, a.sentAt, s.entry.Zone
 	}
 }
 
-// place sends a request if a server can take it now.
-func (r *Router) place(q *request) bool {
-	if r.spent(q) {
+// trySend sends a request if a server can take it now.
+func (r *Router) trySend(q *request) bool {
+	if r.attemptsExhausted(q) {
 		return false
 	}
-	s := r.choose(q)
+	s := r.chooseServer(q)
 	if s == nil ||
-		q.maybe && q.class.Effect == Deduplicated && q.class.Scope == ScopeZone &&
-			s.entry.Zone != q.maybeZone {
+		q.possiblyRan && q.class.Effect == Deduplicated && q.class.Scope == ScopeZone &&
+			s.entry.Zone != q.possiblyRanZone {
 		return false // only the first's zone drops repeats
 	}
-	_, left := r.cost(s, q)
-	a := &attempt{req: q, server: s, no: len(q.tries), sent: r.now, service: s.service}
-	a.met = len(s.open) - s.lost + 1
-	r.putIn(s, a)
-	s.frozenShare, s.frozenUntil = left, r.now+freeze
-	s.coldSpent += q.work()
+	_, shareAfter := r.cost(s, q)
+	a := &attempt{req: q, server: s, number: len(q.attempts), sentAt: r.now, serviceAtSend: s.service}
+	a.ownInFlight = len(s.inFlight) - s.presumedLost + 1
+	r.addAttempt(s, a)
+	s.frozenShare, s.frozenUntil = shareAfter, r.now+shareFreeze
+	s.coldWork += q.expectedWork()
 	for _, o := range s.group.members {
-		o.part -= o.part / (pickMemory * float64(len(s.group.members)))
+		o.trafficShare -= o.trafficShare / (trafficShareMemory * float64(len(s.group.members)))
 	}
-	s.part += 1 / (pickMemory * float64(len(s.group.members)))
-	r.act(Action{Kind: Send, ID: q.id, Server: s.id, SendDeadline: r.sendBy(q, s)})
+	s.trafficShare += 1 / (trafficShareMemory * float64(len(s.group.members)))
+	r.emit(Action{Kind: Send, ID: q.id, Server: s.id, SendDeadline: r.sendDeadline(q, s)})
 	return true
 }
 
-// sendBy is until when the request may be sent there. A connection may be long in coming up, and what makes
-// the send right now, the age of the data or the window of repeats, runs on meanwhile.
-func (r *Router) sendBy(q *request, s *server) Time {
-	by := Time(math.MaxInt64)
-	if q.class.Read == ReadBounded && r.set.LagPolicy == LagServesStale && s != r.primary(q.group) {
-		by = s.position + q.class.StalenessBound
+// sendDeadline is until when the request may be sent there. A connection may be long in coming up, and what
+// makes the send right now, the age of the data or the window of repeats, runs on meanwhile.
+func (r *Router) sendDeadline(q *request, s *server) Time {
+	deadline := Time(math.MaxInt64)
+	if q.class.Read == ReadBounded && r.cfg.LagPolicy == LagServesStale && s != r.primary(q.group) {
+		deadline = s.position + q.class.StalenessBound
 	}
-	if q.maybe && q.class.Effect == Deduplicated {
-		by = min(by, q.maybeAt+q.class.DedupWindow-r.set.Tick)
+	if q.possiblyRan && q.class.Effect == Deduplicated {
+		deadline = min(deadline, q.possiblyRanSent+q.class.DedupWindow-r.cfg.Tick)
 	}
-	return by
+	return deadline
 }
 
 func (r *Router) onRequest(e *Request) {
-	if r.reqs[e.ID] != nil {
+	if r.requests[e.ID] != nil {
 		return
 	}
 	if e.Class < 0 || e.Class >= len(r.classes) || e.Deadline <= r.now {
-		r.act(Action{Kind: Refuse, ID: e.ID, Text: "no time left"})
+		r.emit(Action{Kind: Refuse, ID: e.ID, Text: "no time left"})
 		return
 	}
 	c := &r.classes[e.Class]
 	if r.groups[e.Group] == nil && len(r.servers) > 0 { // nor does it leave a trace
-		r.act(Action{Kind: Refuse, ID: e.ID, Wait: min(r.set.MaxRetryAfter, c.LatencyTarget),
+		r.emit(Action{Kind: Refuse, ID: e.ID, Wait: min(r.cfg.MaxRetryAfter, c.LatencyTarget),
 			Text: "no such group"})
 		return
 	}
-	q := &request{id: e.ID, class: c, group: r.groupOf(e.Group), arrived: r.now, due: e.Deadline,
-		aim: min(e.Deadline, r.now+c.LatencyTarget), need: never, session: e.Session,
-		value: max(c.Value, 1e-6), size: 1}
-	if q.last = q.aim; c.LateFactor > 0 {
-		q.last = q.due
+	q := &request{id: e.ID, class: c, group: r.groupFor(e.Group), arrived: r.now, deadline: e.Deadline,
+		targetTime: min(e.Deadline, r.now+c.LatencyTarget), minPosition: never, session: e.Session,
+		value: max(c.Value, 1e-6), relativeWork: 1}
+	if q.usefulUntil = q.targetTime; c.LateFactor > 0 {
+		q.usefulUntil = q.deadline
 	}
 	if c.Read == ReadSession {
-		if r.set.TrackCommits {
-			t, ok := r.commits[e.Session]
-			if q.need = t; !ok {
-				q.need = r.forgotten
+		if r.cfg.TrackCommits {
+			t, ok := r.sessionCommits[e.Session]
+			if q.minPosition = t; !ok {
+				q.minPosition = r.forgottenCommit
 			}
 		} else if e.SinceCommit > 0 {
-			q.need = r.now - e.SinceCommit
+			q.minPosition = r.now - e.SinceCommit
 		}
 	}
-	if e.Tenant >= 0 && e.Tenant < len(r.tenants) && r.set.Tenants[e.Tenant].Allowance > 0 {
+	if e.Tenant >= 0 && e.Tenant < len(r.tenants) && r.cfg.Tenants[e.Tenant].Allowance > 0 {
 		// This router's part of the tenant's share, as a bucket of a second or of some requests, for clumps.
-		t, rate := &r.tenants[e.Tenant], r.set.Tenants[e.Tenant].Allowance/float64(r.set.RouterCount)
-		t.tokens = min(max(rate, tenantDepth), t.tokens+rate*(r.now-t.at).Seconds())
-		t.at = r.now
+		t, rate := &r.tenants[e.Tenant], r.cfg.Tenants[e.Tenant].Allowance/float64(r.cfg.RouterCount)
+		t.tokens = min(max(rate, minTenantBurst), t.tokens+rate*(r.now-t.refilledAt).Seconds())
+		t.refilledAt = r.now
 		if t.tokens >= 1 {
 			t.tokens--
 		} else {
-			q.value = max(q.value*r.set.OverShareFactor, 1e-6)
+			q.value = max(q.value*r.cfg.OverShareFactor, 1e-6)
 		}
 	}
 	if e.Retry {
-		q.value *= repeatValue
+		q.value *= retryValueFactor
 	}
 	if hint := e.Work.Seconds(); hint > 0 { // it tells how this request compares with its class
-		c.hint += max(workGain, 1/(c.hints+1)) * (hint - c.hint)
-		c.hints++
-		q.size = min(hintMost, hint/c.hint)
+		c.meanHint += max(minWorkGain, 1/(c.hintCount+1)) * (hint - c.meanHint)
+		c.hintCount++
+		q.relativeWork = min(maxHintRatio, hint/c.meanHint)
 	}
-	q.luck = r.rng.Float64()
-	must := 0.0
+	q.admissionDraw = r.rng.Float64()
+	primaryWork := 0.0
 	if q.primaryOnly() {
-		must = q.work()
+		primaryWork = q.expectedWork()
 	}
-	r.flowed(1, must)
-	r.reqs[q.id] = q
-	r.tend(q.group)
-	if len(q.group.held) > 0 || !r.place(q) {
-		q.group.held = append(q.group.held, q)
-		r.pump(q.group)
+	r.updateRequestRates(1, primaryWork)
+	r.requests[q.id] = q
+	r.checkHealth(q.group)
+	if len(q.group.waiting) > 0 || !r.trySend(q) {
+		q.group.waiting = append(q.group.waiting, q)
+		r.dispatch(q.group)
 	}
 }
 
-// closing tells that a request must have its answer before the next beat; one never sent, by half its time.
-func (r *Router) closing(q *request) bool {
-	end := q.due
-	if !q.reached && q.open == 0 {
-		end = q.arrived + (q.due-q.arrived)/2
+// deadlineNear tells that a request must have its answer before the next beat; one never sent, by half its
+// time.
+func (r *Router) deadlineNear(q *request) bool {
+	end := q.deadline
+	if !q.reachedServer && q.inFlight == 0 {
+		end = q.arrived + (q.deadline-q.arrived)/2
 	}
-	return r.now+beat+dueMargin*r.set.Tick >= end
+	return r.now+housekeepingInterval+deadlineMarginTicks*r.cfg.Tick >= end
 }
 
-// urgency orders held requests: worth for each unit of work, less once only late worth is left.
-func (r *Router) urgency(q *request) float64 {
-	if r.now > q.aim {
-		return q.value * q.class.LateFactor / q.work()
+// priority orders held requests: worth for each unit of work, less once only late worth is left.
+func (r *Router) priority(q *request) float64 {
+	if r.now > q.targetTime {
+		return q.value * q.class.LateFactor / q.expectedWork()
 	}
-	return q.value / q.work()
+	return q.value / q.expectedWork()
 }
 
-// pump sends what can be sent of a group's held requests, dearest first, and gives up what has no use.
-func (r *Router) pump(g *group) {
-	slices.SortStableFunc(g.held, func(a, b *request) int {
+// dispatch sends what can be sent of a group's held requests, dearest first, and gives up what has no use.
+func (r *Router) dispatch(g *group) {
+	slices.SortStableFunc(g.waiting, func(a, b *request) int {
 		// Newest first: under overload the oldest would each be served just too late.
-		return cmp.Or(cmp.Compare(r.urgency(b), r.urgency(a)), cmp.Compare(b.arrived, a.arrived))
+		return cmp.Or(cmp.Compare(r.priority(b), r.priority(a)), cmp.Compare(b.arrived, a.arrived))
 	})
-	kept, queue := g.held[:0:0], g.held
-	g.held = nil
+	kept, queue := g.waiting[:0:0], g.waiting
+	g.waiting = nil
 	for _, q := range queue {
 		if q.finished {
 			continue
 		}
-		if r.closing(q) || r.spent(q) || r.now+r.soonest(q) > q.last {
-			if q.open == 0 {
+		if r.deadlineNear(q) || r.attemptsExhausted(q) || r.now+r.fastestAnswer(q) > q.usefulUntil {
+			if q.inFlight == 0 {
 				r.finish(q, "no server can take it in time")
 			}
 			continue
 		}
-		if !r.place(q) {
+		if !r.trySend(q) {
 			kept = append(kept, q)
 		}
 	}
-	g.held = append(kept, g.held...)
+	g.waiting = append(kept, g.waiting...)
 }
 
-// soonest is the time that an answer takes where it comes soonest, as loaded as that server is.
-func (r *Router) soonest(q *request) Time {
-	if c := q.class; c.soonAt != r.now || c.soonFor != q.group {
+// fastestAnswer is the time that an answer takes where it comes soonest, as loaded as that server is.
+func (r *Router) fastestAnswer(q *request) Time {
+	if c := q.class; c.fastestAnswerAt != r.now || c.fastestAnswerGroup != q.group {
 		best := never
 		for _, s := range q.group.members {
 			_, n := r.load(s)
-			t := seconds(c.work / (r.rateOf(s) * r.share(s, n)))
+			t := seconds(c.meanWork / (r.currentRate(s) * r.rateShare(s, n)))
 			if s.usable() && (best == never || t < best) {
 				best = t
 			}
 		}
-		c.soon, c.soonAt, c.soonFor = max(0, best), r.now, q.group
+		c.fastestAnswer, c.fastestAnswerAt, c.fastestAnswerGroup = max(0, best), r.now, q.group
 	}
-	return seconds(q.class.soon.Seconds() * q.size)
+	return seconds(q.class.fastestAnswer.Seconds() * q.relativeWork)
 }
 
 // finish gives the final answer: refused where trying again is harmless, failed where it may not be.
 func (r *Router) finish(q *request, why string) {
-	ran := q.maybe || q.open > 0
+	ran := q.possiblyRan || q.inFlight > 0
 	if q.class.Effect == Safe || !ran || q.class.Effect == Deduplicated && q.class.Scope == ScopeAll {
-		r.act(Action{Kind: Refuse, ID: q.id, Wait: min(r.set.MaxRetryAfter, q.class.LatencyTarget),
+		r.emit(Action{Kind: Refuse, ID: q.id, Wait: min(r.cfg.MaxRetryAfter, q.class.LatencyTarget),
 			Text: why})
 	} else {
-		r.act(Action{Kind: Fail, ID: q.id, Text: why})
+		r.emit(Action{Kind: Fail, ID: q.id, Text: why})
 	}
-	r.forget(q)
+	r.forgetRequest(q)
 }
 
-// forget drops a request. Its open attempts are called off: what still waits at a server is spared.
-func (r *Router) forget(q *request) {
+// forgetRequest drops a request. Its open attempts are called off: what still waits at a server is spared.
+func (r *Router) forgetRequest(q *request) {
 	q.finished = true
-	delete(r.reqs, q.id)
-	if r.set.MayCancel {
-		for _, a := range q.tries {
-			if !a.over {
-				r.act(Action{Kind: Cancel, ID: q.id, Attempt: a.no})
+	delete(r.requests, q.id)
+	if r.cfg.MayCancel {
+		for _, a := range q.attempts {
+			if !a.ended {
+				r.emit(Action{Kind: Cancel, ID: q.id, Attempt: a.number})
 			}
 		}
 	}
@@ -593,270 +705,282 @@
 	if s == nil {
 		return
 	}
-	r.advance(s)
-	a, older := r.takeOut(s, e.ID, e.Attempt)
+	r.advanceService(s)
+	a, older := r.removeAttempt(s, e.ID, e.Attempt)
 	if a == nil {
 		return
 	}
 	q := a.req
-	r.countLost(s, a, e.Result)
-	q.reached = q.reached || e.Result != Unreachable && e.Result != Skipped
-	r.learn(s, e.Report, r.now)
-	r.learn(s, e.LoadReport, e.LoadReport.Position)
+	r.recordLoss(s, a, e.Result)
+	q.reachedServer = q.reachedServer || e.Result != Unreachable && e.Result != Skipped
+	r.applyReport(s, e.Report, r.now)
+	r.applyReport(s, e.LoadReport, e.LoadReport.Position)
 	switch e.Result {
 	case OK:
 		c := q.class
-		if !a.blurred {
-			got, took := s.service-a.service, (r.now - a.sent).Seconds()
-			onTheWay := min(r.way(s), took/2)
-			r.timed(s, a, seconds(took-onTheWay))
+		if !a.untimed {
+			got, took := s.service-a.serviceAtSend, (r.now - a.sentAt).Seconds()
+			onTheWay := min(r.zoneLatency(s), took/2)
+			r.recordLatency(s, a, seconds(took-onTheWay))
 			got, took = got*(1-onTheWay/max(took, 1e-9)), took-onTheWay
-			if r.loaded(s, r.width(s)*(took*r.rateOf(s)/q.work()-hearFrom)) {
+			if r.inferLoad(s,
+				r.concurrencyLimit(s)*(took*r.currentRate(s)/q.expectedWork()-loadInferenceRatio)) {
 				n, _ := r.load(s)
-				got = min(got, took*r.share(s, n)*r.warmth(s))
+				got = min(got, took*r.rateShare(s, n)*r.capacityFraction(s))
 			}
-			s.want += q.work()
-			s.got += got
-			c.n++
-			c.work += max(workGain, 1/(c.n+8)) * (got*r.base(s)*c.work/q.work() - c.work)
-			c.work = max(c.work, 1e-3)
-			r.work += max(workGain, 1/(r.answers+8)) * (c.work - r.work)
-			r.answers++
-		}
-		s.fails, s.failedAt = r.failing(s)/2, r.now
-		for _, o := range s.open[:older] {
-			o.passed++
-		}
-		r.alive(s, a)
-		if q.class.Read == Write && r.set.TrackCommits {
-			r.remember(q.session, e.Report)
+			s.answeredWork += q.expectedWork()
+			s.answeredService += got
+			c.answerCount++
+			c.meanWork += max(minWorkGain, 1/(c.answerCount+8)) *
+				(got*r.warmRate(s)*c.meanWork/q.expectedWork() - c.meanWork)
+			c.meanWork = max(c.meanWork, 1e-3)
+			r.meanWork += max(minWorkGain, 1/(r.answerCount+8)) * (c.meanWork - r.meanWork)
+			r.answerCount++
+		}
+		s.lastFailureChance, s.failureChanceAt = r.failureChance(s)/2, r.now
+		for _, o := range s.inFlight[:older] {
+			o.overtakenBy++
+		}
+		r.recordAnswer(s, a)
+		if q.class.Read == Write && r.cfg.TrackCommits {
+			r.rememberCommit(q.session, e.Report)
 		}
 	case Misdirected:
-		r.alive(s, a)
+		r.recordAnswer(s, a)
 		if q.primaryOnly() && e.Report.Role != RolePrimary {
 			s.role, s.roleAt = RoleReplica, r.now
 		} else {
-			s.pace /= 2 // it is further behind than guessed
+			s.applyRate /= 2 // it is further behind than guessed
 		}
 	case Overloaded, Unreachable, Failed, Reset:
 		// No proof that it is down: it costs more for a while, and after a second failure is left for a turn.
-		if e.Result == Unreachable && !r.wayTook(s, r.now-a.sent) && r.now-a.sent < stall {
-			r.refused(s)
+		if e.Result == Unreachable && !r.recordZoneLatency(s, r.now-a.sentAt) &&
+			r.now-a.sentAt < pauseThreshold {
+			r.recordRefusal(s)
 		} else if e.Result == Unreachable { // not refused at once: a probe tells whether it lives
-			r.probe(s, probeDown)
+			r.probe(s, downProbeInterval)
 		}
 		if e.Result == Overloaded {
-			r.alive(s, a)
-			r.loaded(s, 2*r.width(s)*q.class.LatencyTarget.Seconds()*r.rateOf(s)/q.work())
+			r.recordAnswer(s, a)
+			r.inferLoad(s,
+				2*r.concurrencyLimit(s)*q.class.LatencyTarget.Seconds()*r.currentRate(s)/q.expectedWork())
 		}
-		s.fails, s.failedAt = (r.failing(s)+1)/2, r.now
-		if e.Result == Overloaded || e.Result == Failed && s.fails > 0.5 {
-			s.fullUntil = r.now + r.turn(s)
+		s.lastFailureChance, s.failureChanceAt = (r.failureChance(s)+1)/2, r.now
+		if e.Result == Overloaded || e.Result == Failed && s.lastFailureChance > 0.5 {
+			s.overloadedUntil = r.now + r.meanServiceTime(s)
 		}
 	}
-	q.asked = 0
+	q.probeCount = 0
 	if e.Result == Failed || e.Result == TimedOut || e.Result == Reset || e.Result == Cancelled {
-		q.mayHaveRun(a, s)
+		q.notePossiblyRan(a, s)
 	}
 	if e.Final {
-		r.forget(q)
+		r.forgetRequest(q)
 	}
-	if e.Result != OK && !q.finished && q.open == 0 {
-		if r.closing(q) || r.spent(q) {
+	if e.Result != OK && !q.finished && q.inFlight == 0 {
+		if r.deadlineNear(q) || r.attemptsExhausted(q) {
 			r.finish(q, "no attempt is left after "+e.Result.String())
-		} else if !slices.Contains(q.group.held, q) {
-			q.group.held = append(q.group.held, q)
+		} else if !slices.Contains(q.group.waiting, q) {
+			q.group.waiting = append(q.group.waiting, q)
 		}
 	}
-	r.pump(s.group)
+	r.dispatch(s.group)
 }
 
 func (r *Router) onList(e *List) {
 	if e.Kind == ListFailed {
-		if r.watchFails++; r.now-r.watchedAt >= watchPause { // it had held
-			r.watchFails = 0
+		if r.subscribeFailures++; r.now-r.lastSubscribe >= maxSubscribePause { // it had held
+			r.subscribeFailures = 0
 		}
-		pause := min(watchPause, watchSoon<<min(r.watchFails, 9))
-		r.rewatch(pause)
+		pause := min(maxSubscribePause, minSubscribePause<<min(r.subscribeFailures, 9))
+		r.scheduleSubscribe(pause)
 		return
 	}
-	named := map[ServerID]bool{}
+	present := map[ServerID]bool{}
 	for _, n := range e.Entries {
-		named[n.Server] = true
+		present[n.Server] = true
 		s := r.servers[n.Server]
 		if s == nil {
 			if n.State == Removed {
 				continue
 			}
-			s = r.newServer(n.Server, r.groupOf(n.Group))
-			s.soft, s.part = r.set.SoftRemoval, r.rng.Float64() // each goes round from a place of its own
-			if r.listed {
-				s.part = 0
-				if r.set.MayProbe {
+			s = r.addServer(n.Server, r.groupFor(n.Group))
+			// Each router begins its round robin at a random member.
+			s.softRemoval, s.trafficShare = r.cfg.SoftRemoval, r.rng.Float64()
+			if r.listReceived {
+				s.trafficShare = 0
+				if r.cfg.MayProbe {
 					s.health = down // it may not exist: a probe comes before any request
 				}
 				if e.Kind == ListChanges {
-					s.coldFrom = max(s.coldFrom, r.now) // a new machine starts cold, whatever its entry says
+					// A new machine starts cold, whatever its entry says.
+					s.coldSince = max(s.coldSince, r.now)
 				}
 			}
 		}
 		if n.StartedAt > 0 && n.StartedAt > s.entry.StartedAt {
-			s.coldFrom = max(s.coldFrom, n.StartedAt)
+			s.coldSince = max(s.coldSince, n.StartedAt)
 		}
-		if r.set.ListShowsRole && n.Primary && s.role == RoleUnknown {
+		if r.cfg.ListShowsRole && n.Primary && s.role == RoleUnknown {
 			s.role, s.roleAt = RolePrimary, never+1
 		}
 		if n.State == Removed { // what drained before stays barred by that
-			s.gone = max(r.now, 1)
+			s.removedAt = max(r.now, 1)
 			continue
 		}
-		s.entry, s.gone, s.draining = n, 0, n.State == Draining
-		if r.pools[n.MachineType] == 0 {
-			r.pools[n.MachineType] = startRate
+		s.entry, s.removedAt, s.draining = n, 0, n.State == Draining
+		if r.machineRates[n.MachineType] == 0 {
+			r.machineRates[n.MachineType] = initialRate
 		}
 	}
-	for _, s := range r.order {
-		if e.Kind != ListChanges && !named[s.id] && s.gone == 0 {
-			s.gone = max(r.now, 1)
+	for _, s := range r.sortedServers {
+		if e.Kind != ListChanges && !present[s.id] && s.removedAt == 0 {
+			s.removedAt = max(r.now, 1)
 		}
 	}
-	r.listed = true
-	for _, g := range r.gorder {
-		r.pump(g)
+	r.listReceived = true
+	for _, g := range r.sortedGroups {
+		r.dispatch(g)
 	}
 }
 
-// rewatch subscribes after a pause and as much jitter, each router at a time of its own: the list answers one
-// after the other. One that is pushed comes from an agent of this router's own and binds once that has it.
-func (r *Router) rewatch(pause time.Duration) {
-	most, spread := watchMost, pause+watchEach*time.Duration(r.set.RouterCount-1)
-	if !r.set.SubscribeList {
-		pause, most, spread = min(pause, 2*watchSoon), 4*watchSoon, pause
+// scheduleSubscribe subscribes after a pause and as much jitter, each router at a time of its own: the list
+// answers one after the other. One that is pushed comes from an agent of this router's own and binds once
+// that has it.
+func (r *Router) scheduleSubscribe(pause time.Duration) {
+	limit, spread := maxSubscribeDelay, pause+subscribeSpacing*time.Duration(r.cfg.RouterCount-1)
+	if !r.cfg.SubscribeList {
+		pause, limit, spread = min(pause, 2*minSubscribePause), 4*minSubscribePause, pause
 	}
-	r.rewatchAt = r.now + pause + time.Duration(r.rng.Float64()*float64(min(spread, most-pause)))
+	r.nextSubscribe = r.now + pause + time.Duration(r.rng.Float64()*float64(min(spread, limit-pause)))
 }
 
-func (r *Router) onBeat() {
-	if r.now >= r.refreshAt {
-		r.refresh()
+func (r *Router) onTimer() {
+	if r.now >= r.nextRefresh {
+		r.refreshRates()
 	}
-	for _, g := range r.gorder {
-		if len(g.held) == 0 && !slices.ContainsFunc(g.members, (*server).isBusy) {
+	for _, g := range r.sortedGroups {
+		if len(g.waiting) == 0 && !slices.ContainsFunc(g.members, (*server).hasInFlight) {
 			continue
 		}
-		r.tend(g)
-		r.rescue(g)
-		r.pump(g)
+		r.checkHealth(g)
+		r.retryStuck(g)
+		r.dispatch(g)
 	}
 }
 
-// rescue frees requests, none unsafe, from silent servers and from attempts mislaid, which had several times
-// their work while later ones were answered: by a second copy, else by calling the first off.
-func (r *Router) rescue(g *group) {
+// retryStuck frees requests, none unsafe, from silent servers and from attempts mislaid, which had several
+// times their work while later ones were answered: by a second copy, else by calling the first off.
+func (r *Router) retryStuck(g *group) {
 	for _, s := range g.members {
-		for _, a := range slices.Clone(s.open) {
+		for _, a := range slices.Clone(s.inFlight) {
 			q := a.req
-			if !q.finished && r.closing(q) {
+			if !q.finished && r.deadlineNear(q) {
 				r.finish(q, "its time is nearly over")
 			}
-			if !a.lost && a.passed >= lostPassed && r.had(s, a) > r.patience(g) {
-				a.lost = true
-				s.lost++
+			if !a.presumedLost && a.overtakenBy >= lostOvertakenBy &&
+				r.serviceRatio(s, a) > r.lostThreshold(g) {
+				a.presumedLost = true
+				s.presumedLost++
 			}
-			if s.health != down && !a.lost || a.rescued || q.finished || q.class.Effect == Unsafe ||
-				q.open != 1 || r.now+r.soonest(q) > q.last {
+			if s.health != down && !a.presumedLost || a.retried || q.finished || q.class.Effect == Unsafe ||
+				q.inFlight != 1 || r.now+r.fastestAnswer(q) > q.usefulUntil {
 				continue
 			}
-			q.mayHaveRun(a, s)
-			if r.set.MayDuplicate {
-				a.rescued = r.place(q)
-			} else if r.set.MayCancel && r.choose(q) != nil {
-				a.rescued = true
-				r.act(Action{Kind: Cancel, ID: q.id, Attempt: a.no})
+			q.notePossiblyRan(a, s)
+			if r.cfg.MayDuplicate {
+				a.retried = r.trySend(q)
+			} else if r.cfg.MayCancel && r.chooseServer(q) != nil {
+				a.retried = true
+				r.emit(Action{Kind: Cancel, ID: q.id, Attempt: a.number})
 			}
 		}
 	}
 }
 
-// had is the service that an attempt has had, in times its expected work.
-func (r *Router) had(s *server, a *attempt) float64 {
-	return (s.service - a.service) * r.base(s) / a.req.work()
+// serviceRatio is the service that an attempt has had, in times its expected work.
+func (r *Router) serviceRatio(s *server, a *attempt) float64 {
+	return (s.service - a.serviceAtSend) * r.warmRate(s) / a.req.expectedWork()
 }
 
-// patience is what an overtaken attempt may have had before it is taken for lost. About exp(-x) of others
-// take more than x times their work: where that is less than the part lost, lost is likelier than slow.
-func (r *Router) patience(g *group) float64 {
-	if len(g.held) > 0 { // copies would be at others' expense
-		return lostAfter
+// lostThreshold is what an overtaken attempt may have had before it is taken for lost. About exp(-x) of
+// others take more than x times their work: where that is less than the part lost, lost is likelier than
+// slow.
+func (r *Router) lostThreshold(g *group) float64 {
+	if len(g.waiting) > 0 { // copies would be at others' expense
+		return maxLostRatio
 	}
-	return min(lostAfter, max(lostLeast, -math.Log(r.losing)))
+	return min(maxLostRatio, max(minLostRatio, -math.Log(r.lossRate)))
 }
 
-// refresh corrects rates from the last interval's answers: each kind's, then each server's. Requests out for
-// more than their work count, or a stopped server would keep its rate; not if overtaken.
-func (r *Router) refresh() {
-	r.refreshAt = r.now + refreshEvery
-	r.flowed(0, 0)
-	trust := rateMemory * r.work
+// refreshRates corrects rates from the last interval's answers: each kind's, then each server's. Requests
+// out for more than their work count, or a stopped server would keep its rate; not if overtaken.
+func (r *Router) refreshRates() {
+	r.nextRefresh = r.now + refreshInterval
+	r.updateRequestRates(0, 0)
+	trust := rateMemory * r.meanWork
 	step := func(want, got float64) float64 {
-		return min(rateStep, max(1/rateStep, (want+trust)/(got+trust)))
-	}
-	kinds := map[int][2]float64{} // want, got
-	for _, s := range r.order {
-		r.advance(s)
-		rate := r.base(s)
-		for _, a := range s.open {
-			over := s.service - a.service
-			if a.passed == 0 && !a.lost && !a.blurred && over*rate > a.req.work() {
-				s.got += over - a.req.work()/rate
+		return min(maxRateStep, max(1/maxRateStep, (want+trust)/(got+trust)))
+	}
+	byType := map[int][2]float64{} // want, got
+	for _, s := range r.sortedServers {
+		r.advanceService(s)
+		rate := r.warmRate(s)
+		for _, a := range s.inFlight {
+			excess := s.service - a.serviceAtSend
+			if a.overtakenBy == 0 && !a.presumedLost && !a.untimed && excess*rate > a.req.expectedWork() {
+				s.answeredService += excess - a.req.expectedWork()/rate
 			}
 		}
-		if s.got *= rate; s.want > 0 || s.got > 0 { // from here on in work at its present rate
-			k := kinds[s.entry.MachineType]
-			kinds[s.entry.MachineType] = [2]float64{k[0] + s.want, k[1] + s.got}
+		// From here on, answeredService is in units of work at the server's present rate.
+		if s.answeredService *= rate; s.answeredWork > 0 || s.answeredService > 0 {
+			k := byType[s.entry.MachineType]
+			byType[s.entry.MachineType] = [2]float64{k[0] + s.answeredWork, k[1] + s.answeredService}
 		}
 	}
-	for _, s := range r.order {
-		if s.want > 0 || s.got > 0 {
-			f := step(kinds[s.entry.MachineType][0], kinds[s.entry.MachineType][1])
-			s.rel = min(rateMost, max(1/rateMost, s.rel*step(s.want, s.got*f)))
+	for _, s := range r.sortedServers {
+		if s.answeredWork > 0 || s.answeredService > 0 {
+			f := step(byType[s.entry.MachineType][0], byType[s.entry.MachineType][1])
+			s.relativeRate = min(maxRate,
+				max(1/maxRate, s.relativeRate*step(s.answeredWork, s.answeredService*f)))
 		}
-		s.want, s.got = 0, 0
+		s.answeredWork, s.answeredService = 0, 0
 	}
-	for kind, k := range kinds { // each on its own: the order does not matter
-		r.pools[kind] = min(rateMost, max(1/rateMost, r.pools[kind]*step(k[0], k[1])))
+	for kind, k := range byType { // each on its own: the order does not matter
+		r.machineRates[kind] = min(maxRate, max(1/maxRate, r.machineRates[kind]*step(k[0], k[1])))
 	}
-	r.rescale()
-	r.widen()
+	r.normalizeRates()
+	r.adjustLimits()
 	// Servers that left, have not answered since for a while, and hold nothing of ours are forgotten.
-	r.order = slices.DeleteFunc(r.order, func(s *server) bool {
-		if s.gone == 0 || r.now-max(s.gone, s.answered) < goneKeep || len(s.open) > 0 {
+	r.sortedServers = slices.DeleteFunc(r.sortedServers, func(s *server) bool {
+		if s.removedAt == 0 || r.now-max(s.removedAt, s.lastAnswer) < removedRetention ||
+			len(s.inFlight) > 0 {
 			return false
 		}
-		r.drop(s)
+		r.removeServer(s)
 		return true
 	})
 }
 
-// widen moves the widths towards where answers begin to come late, but never below where they start: slow
-// spells of a server look like crowding.
-func (r *Router) widen() {
-	for _, w := range r.widths { // each on its own: the order does not matter
-		least, to := 0.0, 0.0
-		for i, m := range w.times {
-			if m.n < widthLeast {
+// adjustLimits moves the widths towards where answers begin to come late, but never below where they start:
+// slow spells of a server look like crowding.
+func (r *Router) adjustLimits() {
+	for _, w := range r.concurrencyLimits { // each on its own: the order does not matter
+		least, target := 0.0, 0.0
+		for i, m := range w.latencies {
+			if m.count < minLimitSamples {
 				continue
 			}
 			if least == 0 {
-				least = m.is
+				least = m.value
 			}
-			own := math.Pow(2, float64(i)/2) * r.ownAs()
-			if m.is > widthTight*least {
-				to = min(to, own)
+			load := math.Pow(2, float64(i)/2) * r.loadPerOwnRequest()
+			if m.value > limitSlowdown*least {
+				target = min(target, load)
 				break
 			}
-			to = own * widthTry
+			target = load * limitGrowth
 		}
-		w.is = max(startWidth, w.is/widthPace, min(w.is*widthPace, to))
+		w.limit = max(initialLimit, w.limit/maxLimitStep, min(w.limit*maxLimitStep, target))
 	}
 }
--- a/router_test.go
+++ b/router_test.go
@@ -88,7 +88,7 @@
 // pass lets time go by with beats and returns all that was done meanwhile.
 func (g *rig) pass(d time.Duration) (all []Action) {
 	for end := g.now + d; g.now < end; {
-		g.now = min(end, g.now+beat)
+		g.now = min(end, g.now+housekeepingInterval)
 		all = append(all, g.do(&Timer{})...)
 	}
 	return all
@@ -138,9 +138,9 @@
 		g := trio(t, nil)
 		s := g.r.servers["a"]
 		cl := &g.r.classes[cAny]
-		q := &request{class: cl, value: 1, size: 1}
+		q := &request{class: cl, value: 1, relativeWork: 1}
 		for range c.inFlight {
-			s.open = append(s.open, &attempt{req: q})
+			s.inFlight = append(s.inFlight, &attempt{req: q})
 		}
 		got, _ := g.r.cost(s, q)
 		if math.Abs(got-c.want) > 1e-3 {
@@ -152,10 +152,10 @@
 func TestCostCountsWorth(t *testing.T) {
 	g := trio(t, nil)
 	s := g.r.servers["p"]
-	read := &request{class: &g.r.classes[cAny], value: 1, size: 1}
-	dear := &request{class: &g.r.classes[cAny], value: 4, size: 1}
+	read := &request{class: &g.r.classes[cAny], value: 1, relativeWork: 1}
+	dear := &request{class: &g.r.classes[cAny], value: 4, relativeWork: 1}
 	for range 4 {
-		s.open = append(s.open, &attempt{req: dear})
+		s.inFlight = append(s.inFlight, &attempt{req: dear})
 	}
 	if got, _ := g.r.cost(s, read); math.Abs(got-(0.08/0.7347+4*4*(0.08/0.7347-0.08/0.8409))) > 2e-3 {
 		t.Errorf("cost %v: the slowdown of dearer requests must count by their worth", got)
@@ -166,20 +166,20 @@
 	g := trio(t, nil)
 	s := g.r.servers["a"]
 	for i := range 5 {
-		q := &request{id: RequestID(fmt.Sprint(i)), class: &g.r.classes[cAny], value: 1, size: 1}
-		s.open = append(s.open, &attempt{req: q})
+		q := &request{id: RequestID(fmt.Sprint(i)), class: &g.r.classes[cAny], value: 1, relativeWork: 1}
+		s.inFlight = append(s.inFlight, &attempt{req: q})
 	}
-	s.frozenShare, s.frozenUntil = 0.8, g.now+freeze
-	q := &request{class: &g.r.classes[cAny], value: 1, size: 1}
-	s.open = s.open[:3] // two ended: shares stay as they were at the pick
+	s.frozenShare, s.frozenUntil = 0.8, g.now+shareFreeze
+	q := &request{class: &g.r.classes[cAny], value: 1, relativeWork: 1}
+	s.inFlight = s.inFlight[:3] // two ended: shares stay as they were at the pick
 	held, _ := g.r.cost(s, q)
-	g.now += freeze + ms
+	g.now += shareFreeze + ms
 	g.r.now = g.now
 	_, left := g.r.cost(s, q)
 	if left <= 0.8 || held <= 0 {
 		t.Errorf("share after the freeze is %v, want the full rate back", left)
 	}
-	s.frozenUntil = g.now + freeze
+	s.frozenUntil = g.now + shareFreeze
 	if _, left = g.r.cost(s, q); left != 0.8 {
 		t.Errorf("share inside the freeze is %v, want 0.8", left)
 	}
@@ -188,25 +188,26 @@
 func TestServerWithoutAnswersTakesItsKindsRate(t *testing.T) {
 	g := newRig(t, testSettings(), Entry{Server: "a", MachineType: 0}, Entry{Server: "b", MachineType: 1}, Entry{Server: "c", MachineType: 1},
 		Entry{Server: "d", MachineType: 1, Group: 5})
-	if got := g.r.base(g.r.servers["a"]); got != startRate {
+	if got := g.r.warmRate(g.r.servers["a"]); got != initialRate {
 		t.Errorf("nothing heard: %v", got)
 	}
 	// b's answers take half the service that was expected, second after second.
 	for i := range 10 {
 		id := RequestID(fmt.Sprint("q", i))
 		b := g.r.servers["b"]
-		q := &request{id: id, class: &g.r.classes[cAny], group: b.group, value: 1, size: 1, due: g.now + time.Second}
-		g.r.reqs[id] = q
-		a := &attempt{req: q, sent: g.now, service: b.service}
-		b.open, q.tries, q.open = append(b.open, a), append(q.tries, a), 1
-		g.r.open++
-		b.service += q.work() / g.r.base(b) / 2
-		b.serviceAt = g.now
+		q := &request{id: id, class: &g.r.classes[cAny], group: b.group, value: 1, relativeWork: 1, deadline: g.now + time.Second}
+		g.r.requests[id] = q
+		a := &attempt{req: q, sentAt: g.now, serviceAtSend: b.service}
+		b.inFlight, q.attempts, q.inFlight = append(b.inFlight, a), append(q.attempts, a), 1
+		g.r.inFlight++
+		b.service += q.expectedWork() / g.r.warmRate(b) / 2
+		b.serviceUpdatedAt = g.now
 		g.end(id, 0, "b", OK)
-		g.pass(refreshEvery)
+		g.pass(refreshInterval)
 	}
-	a, b, c, d := g.r.base(g.r.servers["a"]), g.r.base(g.r.servers["b"]), g.r.base(g.r.servers["c"]), g.r.base(g.r.servers["d"])
-	if a != startRate || c <= 1.2 || d != c || b < c {
+	a, b, c, d := g.r.warmRate(g.r.servers["a"]), g.r.warmRate(g.r.servers["b"]),
+		g.r.warmRate(g.r.servers["c"]), g.r.warmRate(g.r.servers["d"])
+	if a != initialRate || c <= 1.2 || d != c || b < c {
 		t.Errorf("rates %v %v %v %v: want the kind's to follow b, in every group, and no other kind's", a, b, c, d)
 	}
 }
@@ -214,13 +215,13 @@
 // TestLeastCostDecides fails if reads do not spread to the least loaded qualifying member.
 func TestLeastCostDecides(t *testing.T) {
 	g := trio(t, nil)
-	g.r.servers["p"].rel, g.r.servers["a"].rel, g.r.servers["b"].rel = 0.5, 1, 2
+	g.r.servers["p"].relativeRate, g.r.servers["a"].relativeRate, g.r.servers["b"].relativeRate = 0.5, 1, 2
 	g.wantSend(g.ask("1", cBounded), "1", "b")
 	for i := 2; i <= 4; i++ {
 		g.ask(RequestID(fmt.Sprint(i)), cBounded)
 	}
 	// b's requests would now slow each other; a still gives a whole share.
-	g.r.servers["b"].rel = 1
+	g.r.servers["b"].relativeRate = 1
 	g.wantSend(g.ask("5", cBounded), "5", "a")
 }
 
@@ -280,7 +281,7 @@
 	g.do(&Outcome{ID: "w", Server: "p", Final: true, Report: Report{Role: RolePrimary, Position: g.now, HasPosition: true}})
 	g.do(&Request{ID: "r", Class: cSession, Deadline: g.now + time.Second, Session: "s"})
 	got := append(g.report("a", RoleReplica, g.now-51*ms), g.report("b", RoleReplica, g.now-51*ms)...)
-	g.wantSend(append(got, g.pass(2*beat)...), "r", "p")
+	g.wantSend(append(got, g.pass(2*housekeepingInterval)...), "r", "p")
 	// An answer whose commit cannot be read is as late as can be: a replica known up to just before it is not enough.
 	g.do(&Request{ID: "w2", Class: cWrite, Deadline: g.now + time.Second, Session: "s2"})
 	g.now += 50 * ms
@@ -288,15 +289,15 @@
 	g.report("a", RoleReplica, g.now-1*ms)
 	g.report("b", RoleReplica, g.now-1*ms)
 	got = g.do(&Request{ID: "r2", Class: cSession, Deadline: g.now + time.Second, Session: "s2"})
-	g.wantSend(append(got, g.pass(2*beat)...), "r2", "p")
-	for i := range sessionsKept + 1 {
-		g.r.remember(fmt.Sprint(i), Report{Position: g.now, HasPosition: true})
-		g.r.remember(fmt.Sprint("more", i), Report{Position: g.now, HasPosition: true})
+	g.wantSend(append(got, g.pass(2*housekeepingInterval)...), "r2", "p")
+	for i := range maxSessions + 1 {
+		g.r.rememberCommit(fmt.Sprint(i), Report{Position: g.now, HasPosition: true})
+		g.r.rememberCommit(fmt.Sprint("more", i), Report{Position: g.now, HasPosition: true})
 	}
-	if n := len(g.r.commits); n > sessionsKept {
+	if n := len(g.r.sessionCommits); n > maxSessions {
 		t.Errorf("%d sessions kept", n)
 	}
-	if g.r.forgotten != g.now {
+	if g.r.forgottenCommit != g.now {
 		t.Error("dropping sessions must raise what an unknown one is taken to have written")
 	}
 }
@@ -377,7 +378,7 @@
 			out := g.end("1", 0, first[0].Server, c.res)
 			for range 40 { // help a primary that was doubted back
 				g.report("p", RolePrimary, g.now)
-				out = append(append(out, g.out...), g.pass(beat)...)
+				out = append(append(out, g.out...), g.pass(housekeepingInterval)...)
 			}
 			got := "held"
 			switch {
@@ -420,7 +421,7 @@
 	g := trio(t, nil)
 	g.ask("1", cWrite)
 	g.now += 100 * ms
-	g.r.bad(g.r.servers["p"])
+	g.r.markDown(g.r.servers["p"])
 	g.wantNone(Send, g.end("1", 0, "p", Failed))
 	if got := finals(g.pass(1880 * ms)); len(got) != 0 {
 		t.Fatalf("inside the window: %+v", got)
@@ -433,7 +434,7 @@
 func TestNeverTwoInFlightWhereNotAllowed(t *testing.T) {
 	g := trio(t, func(s *Settings) { s.MayDuplicate = false })
 	first := of(Send, g.ask("1", cAny))[0].Server
-	g.r.bad(g.r.servers[first])
+	g.r.markDown(g.r.servers[first])
 	out := g.pass(100 * ms)
 	g.wantNone(Send, out)
 	if len(of(Cancel, out)) != 1 {
@@ -480,12 +481,12 @@
 				if a.Kind == Send {
 					sent++
 					g.end(a.ID, 0, "a", Overloaded)
-					g.r.servers["a"].fullUntil = 0
+					g.r.servers["a"].overloadedUntil = 0
 				}
 			}
 		}
-		work := float64(sent) * g.r.classes[cAny].work
-		most := set.OverloadMultiple * 0.3 * startWidth * startRate / float64(siblings)
+		work := float64(sent) * g.r.classes[cAny].meanWork
+		most := set.OverloadMultiple * 0.3 * initialLimit * initialRate / float64(siblings)
 		if sent == 0 || work > most {
 			t.Errorf("%d siblings: %d sends, %v of work, at most %v", siblings, sent, work, most)
 		}
@@ -497,9 +498,9 @@
 	s := of(Send, g.ask("1", cAny))[0].Server
 	g.end("1", 0, s, Unreachable)
 	g.do(&ProbeResult{Server: s, Result: Unreachable})
-	g.now += outage + ms
+	g.now += restartOutage + ms
 	g.report(s, RoleReplica, g.now)
-	if w := g.r.warmth(g.r.servers[s]); w > 0.3 {
+	if w := g.r.capacityFraction(g.r.servers[s]); w > 0.3 {
 		t.Errorf("warmth %v after an outage", w)
 	}
 }
@@ -541,7 +542,7 @@
 	g.now += 20 * ms
 	g.do(&Outcome{ID: "1", Server: "p", Result: Misdirected, Report: Report{Role: RoleReplica}})
 	g.report("p", RolePrimary, g.now-10*ms) // an older report must not undo it
-	if g.r.primary(g.r.groupOf(0)) != nil {
+	if g.r.primary(g.r.groupFor(0)) != nil {
 		t.Error("an old report brought the demoted primary back")
 	}
 }
@@ -549,13 +550,13 @@
 // TestSilentServerLosesReads: a server that answers probes but no requests is left alone.
 func TestSilentServerLosesReads(t *testing.T) {
 	g := trio(t, nil)
-	for _, s := range g.r.order {
-		s.rel = 4
+	for _, s := range g.r.sortedServers {
+		s.relativeRate = 4
 	}
 	s := of(Send, g.ask("1", cAny))[0].Server
 	var rescued bool
 	for range 100 {
-		for _, a := range g.pass(beat) {
+		for _, a := range g.pass(housekeepingInterval) {
 			rescued = rescued || a.Kind == Send && a.ID == "1" && a.Server != s
 		}
 		if !g.r.servers[s].usable() {
@@ -565,7 +566,7 @@
 	if !rescued {
 		t.Error("the read was left at the silent server")
 	}
-	g.r.bad(g.r.servers[s])
+	g.r.markDown(g.r.servers[s])
 	g.report(s, RoleReplica, g.now)
 	if g.r.servers[s].health != onTrial {
 		t.Error("an answered probe alone must not make it healthy")
@@ -589,7 +590,7 @@
 	if !again {
 		t.Error("the lost attempt was never sent again")
 	}
-	if n := len(g.r.servers["p"].open) - g.r.servers["p"].lost; n > 1 {
+	if n := len(g.r.servers["p"].inFlight) - g.r.servers["p"].presumedLost; n > 1 {
 		t.Errorf("load %v: lost attempts still count", n)
 	}
 }
@@ -606,8 +607,8 @@
 			s := of(Send, g.ask(id, cAny))[0].Server
 			g.pass(40 * ms)
 			if st := g.r.servers[s]; res == Cancelled {
-				a := st.open[0]
-				a.passed, a.service, a.lost, st.lost = lostPassed, a.service-10, true, 1
+				a := st.inFlight[0]
+				a.overtakenBy, a.serviceAtSend, a.presumedLost, st.presumedLost = lostOvertakenBy, a.serviceAtSend-10, true, 1
 			}
 			g.do(&Outcome{ID: id, Server: s, Result: res, Final: true})
 		}
@@ -620,15 +621,15 @@
 		}
 		q := of(Send, g.ask("slow", cAny))[0]
 		s := g.r.servers[q.Server]
-		a := s.open[0]
-		a.passed, a.service = lostPassed, a.service-4*a.req.work()/g.r.base(s) // four times its work
+		a := s.inFlight[0]
+		a.overtakenBy, a.serviceAtSend = lostOvertakenBy, a.serviceAtSend-4*a.req.expectedWork()/g.r.warmRate(s) // four times its work
 		if wait {
-			r := &request{id: "w", class: &g.r.classes[cWrite], group: s.group, due: never, value: 1, size: 1}
-			s.group.held = append(s.group.held, r)
+			r := &request{id: "w", class: &g.r.classes[cWrite], group: s.group, deadline: never, value: 1, relativeWork: 1}
+			s.group.waiting = append(s.group.waiting, r)
 		}
-		g.r.out = nil
-		g.r.rescue(s.group)
-		return len(of(Send, g.r.out)) > 0
+		g.r.actions = nil
+		g.r.retryStuck(s.group)
+		return len(of(Send, g.r.actions)) > 0
 	}
 	if !copied(true, false) {
 		t.Error("an attempt that is probably lost was not copied")
@@ -646,10 +647,10 @@
 func TestScaleDoesNotRunAway(t *testing.T) {
 	g := trio(t, nil)
 	g.do(&List{Kind: ListChanges, Entries: []Entry{{Server: "new"}}})
-	g.r.servers["new"].fullUntil = math.MaxInt64 // it stays unheard
+	g.r.servers["new"].overloadedUntil = math.MaxInt64 // it stays unheard
 	rng := rand.New(rand.NewPCG(3, 3))
 	for i := range 6000 {
-		g.pass(beat)
+		g.pass(housekeepingInterval)
 		id := RequestID(fmt.Sprint(i))
 		for _, a := range of(Send, g.ask(id, cAny)) {
 			g.pass(Time(rng.ExpFloat64() * float64(20*ms)))
@@ -658,12 +659,12 @@
 	}
 	mean := 0.0
 	for _, s := range []ServerID{"p", "a", "b"} {
-		mean += math.Log(g.r.base(g.r.servers[s])) / 3
+		mean += math.Log(g.r.warmRate(g.r.servers[s])) / 3
 	}
-	if off := math.Log(g.r.base(g.r.servers["new"])) - mean; math.Abs(off) > 0.1 {
+	if off := math.Log(g.r.warmRate(g.r.servers["new"])) - mean; math.Abs(off) > 0.1 {
 		t.Errorf("an unheard server is taken to be %.3g times as fast as the others", math.Exp(off))
 	}
-	if math.Abs(mean) > math.Log(2*scaleMost) {
+	if math.Abs(mean) > math.Log(2*maxMeanRate) {
 		t.Errorf("mean rate %.3g", math.Exp(mean))
 	}
 }
@@ -679,7 +680,7 @@
 		g.pass(80 * ms)
 		g.end(id, 0, "p", OK)
 	}
-	if got := g.r.rateOf(g.r.servers["p"]); got < 0.7 {
+	if got := g.r.currentRate(g.r.servers["p"]); got < 0.7 {
 		t.Errorf("rate %v", got)
 	}
 }
@@ -697,7 +698,7 @@
 	}
 	g.report("p", RolePrimary, g.now)
 	g.wantSend(g.ask("trial", cUnsafe), "trial", "p")
-	for i := 1; i < trialJobs; i++ {
+	for i := 1; i < trialRequests; i++ {
 		g.ask(RequestID(fmt.Sprint("trial", i)), cUnsafe)
 	}
 	g.wantNone(Send, g.ask("next", cUnsafe))
@@ -709,7 +710,7 @@
 func TestTrialThatIsNotAnsweredEnds(t *testing.T) {
 	g := newRig(t, testSettings(), Entry{Server: "p"})
 	g.report("p", RolePrimary, g.now)
-	g.r.bad(g.r.servers["p"])
+	g.r.markDown(g.r.servers["p"])
 	g.report("p", RolePrimary, g.now)
 	g.wantSend(g.ask("trial", cUnsafe), "trial", "p")
 	g.pass(1500 * ms)
@@ -725,7 +726,7 @@
 		g.ask(RequestID(fmt.Sprint(i)), cUnsafe)
 	}
 	g.pass(time.Second)
-	if g.r.servers["p"].lost != 0 {
+	if g.r.servers["p"].presumedLost != 0 {
 		t.Error("nothing was overtaken, so nothing may be written off")
 	}
 }
@@ -733,7 +734,7 @@
 func TestRepeatsWaitBehindFirstTries(t *testing.T) {
 	g := newRig(t, testSettings(), Entry{Server: "p"})
 	g.report("p", RolePrimary, g.now)
-	for i := 0; g.r.room(g.r.servers["p"], &request{class: &g.r.classes[cAny]}); i++ {
+	for i := 0; g.r.hasCapacity(g.r.servers["p"], &request{class: &g.r.classes[cAny]}); i++ {
 		g.ask(RequestID(fmt.Sprint("fill", i)), cAny)
 	}
 	g.do(&Request{ID: "repeat", Class: cAny, Deadline: g.now + time.Second, Retry: true})
@@ -750,9 +751,10 @@
 	g.do(&Request{ID: "1", Class: cAny, Deadline: due, Work: 10 * ms})
 	g.do(&Request{ID: "2", Class: cAny, Deadline: due, Work: 30 * ms})
 	g.do(&Request{ID: "3", Class: cAny, Deadline: due})
-	avg := g.r.classes[cAny].work
+	avg := g.r.classes[cAny].meanWork
 	// The second raises the average to 20 ms, so it counts half as much again.
-	if a, b, c := g.r.reqs["1"].work(), g.r.reqs["2"].work(), g.r.reqs["3"].work(); math.Abs(a-avg)+math.Abs(b-1.5*avg)+math.Abs(c-avg) > 1e-9 {
+	if a, b, c := g.r.requests["1"].expectedWork(), g.r.requests["2"].expectedWork(),
+		g.r.requests["3"].expectedWork(); math.Abs(a-avg)+math.Abs(b-1.5*avg)+math.Abs(c-avg) > 1e-9 {
 		t.Errorf("work %v, %v, %v with an average of %v", a, b, c, avg)
 	}
 }
@@ -761,10 +763,10 @@
 	// One of 100 routers: its part of the share is one request in ten seconds, and clumps are no excess.
 	g := trio(t, func(s *Settings) { s.RouterCount, s.Tenants = 100, []Tenant{{Allowance: 10}} })
 	g.do(&List{Kind: ListChanges, Entries: []Entry{{Server: "x", Group: 9}}}) // new: requests wait for its probe
-	for i := range int(tenantDepth) + 1 {
+	for i := range int(minTenantBurst) + 1 {
 		g.do(&Request{ID: RequestID(fmt.Sprint(i)), Class: cAny, Group: 9, Deadline: g.now + time.Second})
 	}
-	if a, b := g.r.reqs["3"].value, g.r.reqs["4"].value; a != 1 || b != 0.1 {
+	if a, b := g.r.requests["3"].value, g.r.requests["4"].value; a != 1 || b != 0.1 {
 		t.Errorf("values %v and %v", a, b)
 	}
 }
@@ -777,7 +779,7 @@
 		t.Fatal("not subscribed at the start")
 	}
 	g.do(&List{Kind: ListFailed})
-	if n := len(of(Subscribe, g.pass(3*watchPause))); n != 1 {
+	if n := len(of(Subscribe, g.pass(3*maxSubscribePause))); n != 1 {
 		t.Errorf("%d subscriptions after a failure", n)
 	}
 	if !g.r.servers["a"].usable() {
@@ -793,12 +795,12 @@
 	g := newRig(t, set, Entry{Server: "a"})
 	g.pass(10 * time.Second)
 	g.do(&List{Kind: ListFailed})
-	if n := len(of(Subscribe, g.pass(3*watchSoon))); n != 1 {
+	if n := len(of(Subscribe, g.pass(3*minSubscribePause))); n != 1 {
 		t.Errorf("%d subscriptions soon after a watch broke, want 1", n)
 	}
 	n := 0
 	for end := g.now + 10*time.Second; g.now < end; {
-		if len(of(Subscribe, g.pass(beat))) > 0 {
+		if len(of(Subscribe, g.pass(housekeepingInterval))) > 0 {
 			n++
 			g.do(&List{Kind: ListFailed})
 		}
@@ -806,9 +808,9 @@
 	if n > 12 {
 		t.Errorf("%d subscriptions in 10 s of failures", n)
 	}
-	g.pass(watchPause * 2)
+	g.pass(maxSubscribePause * 2)
 	g.do(&List{Kind: ListFailed})
-	if n := len(of(Subscribe, g.pass(3*watchSoon))); n != 1 {
+	if n := len(of(Subscribe, g.pass(3*minSubscribePause))); n != 1 {
 		t.Errorf("%d subscriptions soon after a watch that held again", n)
 	}
 }
@@ -829,16 +831,16 @@
 			r.Handle(now, &Timer{}, nil)
 			for n := range 5 {
 				r.Handle(now, &List{Kind: ListFailed}, nil)
-				switch wait := r.rewatchAt - now; {
-				case wait > watchMost || !ask && wait > 4*watchSoon:
+				switch wait := r.nextSubscribe - now; {
+				case wait > maxSubscribeDelay || !ask && wait > 4*minSubscribePause:
 					t.Fatalf("asked %v: %v to the next subscription", ask, wait)
 				case n > 0: // the pause grows
-				case wait < watchMost/3:
+				case wait < maxSubscribeDelay/3:
 					early++
-				case wait > watchMost*2/3:
+				case wait > maxSubscribeDelay*2/3:
 					late++
 				}
-				now = r.rewatchAt
+				now = r.nextSubscribe
 				r.Handle(now, &Timer{}, nil)
 			}
 		}
@@ -953,23 +955,23 @@
 
 func TestNothingIsLeftBehind(t *testing.T) {
 	g, _ := play(t, 10000)
-	if n := len(g.r.reqs); n != 0 {
+	if n := len(g.r.requests); n != 0 {
 		t.Errorf("%d requests left", n)
 	}
-	for _, s := range g.r.order {
-		if len(s.open) != 0 || s.lost != 0 {
-			t.Errorf("%s: %d attempts left, %d lost", s.id, len(s.open), s.lost)
+	for _, s := range g.r.sortedServers {
+		if len(s.inFlight) != 0 || s.presumedLost != 0 {
+			t.Errorf("%s: %d attempts left, %d lost", s.id, len(s.inFlight), s.presumedLost)
 		}
 	}
-	for _, x := range g.r.gorder {
-		if len(x.held) != 0 {
-			t.Errorf("%d held", len(x.held))
+	for _, x := range g.r.sortedGroups {
+		if len(x.waiting) != 0 {
+			t.Errorf("%d held", len(x.waiting))
 		}
 	}
 	g.do(&List{Kind: ListFull})
-	g.now += goneKeep
+	g.now += removedRetention
 	g.do(&Timer{})
-	if len(g.r.servers) != 0 || len(g.r.order) != 0 || len(g.r.groupOf(0).members) != 0 {
+	if len(g.r.servers) != 0 || len(g.r.sortedServers) != 0 || len(g.r.groupFor(0).members) != 0 {
 		t.Error("vanished servers are kept")
 	}
 }
@@ -987,9 +989,9 @@
 		g.do(&List{Kind: ListChanges, Entries: []Entry{{Server: "p", StartedAt: start}}})
 		all = append(all, g)
 	}
-	work := all[0].r.classes[cAny].work
-	allowed := set.OverloadMultiple * set.ColdCapacity * startWidth * startRate // work a second just after the start
-	var sent []float64                                                          // by tenths of a second
+	work := all[0].r.classes[cAny].meanWork
+	allowed := set.OverloadMultiple * set.ColdCapacity * initialLimit * initialRate // work a second just after the start
+	var sent []float64                                                              // by tenths of a second
 	for step := range 30 {
 		n := 0
 		for i, g := range all {
@@ -1024,10 +1026,11 @@
 		entries = append(entries, Entry{Server: ServerID(fmt.Sprint("s", i)), StartedAt: start})
 	}
 	g := newRig(t, set, entries...)
-	for _, s := range g.r.order {
-		s.coldFrom, s.rel = start-200*time.Second, 2 // about 0.36 of its capacity
+	for _, s := range g.r.sortedServers {
+		s.coldSince, s.relativeRate = start-200*time.Second, 2 // about 0.36 of its capacity
 	}
-	part := coldMargin * set.OverloadMultiple * g.r.rateOf(g.r.order[0]) * startWidth / float64(set.RouterCount)
+	part := coldBudgetShare * set.OverloadMultiple * g.r.currentRate(g.r.sortedServers[0]) * initialLimit /
+		float64(set.RouterCount)
 	sent, each := 0, map[ServerID]int{}
 	for i := range warmUp + requests {
 		g.pass(20 * ms)
@@ -1039,7 +1042,7 @@
 			}
 		}
 	}
-	offered := 50 * g.r.work // a second
+	offered := 50 * g.r.meanWork // a second
 	want := min(1, members*part/offered)
 	if got := float64(sent) / requests; got < 0.7*want || got > 1.3*want {
 		t.Errorf("sent %.2f of the requests, want about %.2f", got, want)
@@ -1087,7 +1090,7 @@
 func TestWritesComeFirstAtAColdPrimary(t *testing.T) {
 	g := trio(t, func(set *Settings) { set.RouterCount, set.ColdDuration = 80, 1000*time.Second })
 	p := g.r.servers["p"]
-	p.coldFrom = start - 200*time.Second // about 0.36 of its capacity
+	p.coldSince = start - 200*time.Second // about 0.36 of its capacity
 	writes, sent := 0, 0
 	for i := range 2000 {
 		class := cAny
@@ -1107,8 +1110,8 @@
 		}
 		g.do(&Abandoned{ID: id})
 	}
-	part := coldMargin * g.r.set.OverloadMultiple * g.r.rateOf(p) * startWidth / 80
-	if want := min(1, part/(g.r.work)); float64(sent) < 0.6*want*float64(writes) {
+	part := coldBudgetShare * g.r.cfg.OverloadMultiple * g.r.currentRate(p) * initialLimit / 80
+	if want := min(1, part/(g.r.meanWork)); float64(sent) < 0.6*want*float64(writes) {
 		t.Errorf("%d of %d writes went out, want about %.2f of them", sent, writes, want)
 	}
 }
@@ -1126,7 +1129,7 @@
 	g.wantSend(g.do(&List{Kind: ListChanges, Entries: []Entry{{Server: "a"}}}), "1", "a")
 	g.end("1", 0, "a", OK)
 	g.end("2", 0, "b", OK)
-	g.pass(goneKeep + 2*refreshEvery)
+	g.pass(removedRetention + 2*refreshInterval)
 	if len(g.r.servers) != 1 || g.r.servers["a"] == nil {
 		t.Errorf("%d servers kept, want a alone", len(g.r.servers))
 	}
@@ -1206,7 +1209,7 @@
 // answers do not count.
 func TestFailingServerIsNotTheCheapest(t *testing.T) {
 	g := trio(t, nil)
-	g.r.servers["a"].rel = 1.5
+	g.r.servers["a"].relativeRate = 1.5
 	for i := range 3 {
 		id := RequestID(fmt.Sprint(i))
 		sent := of(Send, g.ask(id, cAny))
@@ -1225,13 +1228,13 @@
 func TestOwnStallIsNoEvidence(t *testing.T) {
 	g := trio(t, nil)
 	sent := of(Send, g.ask("1", cAny))[0].Server
-	rate := g.r.servers[sent].rel
+	rate := g.r.servers[sent].relativeRate
 	g.now += 3 * time.Second
 	g.do(&Request{ID: "2", Class: cAny, Deadline: g.now + time.Second})
 	g.end("1", 0, sent, OK)
 	g.do(&Timer{})
-	if s := g.r.servers[sent]; s.health != healthy || s.rel < rate {
-		t.Errorf("health %v, rate %v of %v", s.health, s.rel, rate)
+	if s := g.r.servers[sent]; s.health != healthy || s.relativeRate < rate {
+		t.Errorf("health %v, rate %v of %v", s.health, s.relativeRate, rate)
 	}
 }
 
@@ -1273,8 +1276,8 @@
 	g.wantSend(g.ask("write", cUnsafe), "write", "p")
 	g.now += 250 * ms
 	g.wantSend(g.end("write", 0, "p", Unreachable), "write", "p")
-	if s := g.r.servers["p"]; s.health != healthy || s.coldFrom != never {
-		t.Errorf("health %v, cold from %v", s.health, s.coldFrom)
+	if s := g.r.servers["p"]; s.health != healthy || s.coldSince != never {
+		t.Errorf("health %v, cold from %v", s.health, s.coldSince)
 	}
 	g.now += 2 * ms
 	g.end("write", 1, "p", Unreachable)
@@ -1292,16 +1295,16 @@
 	a, b := g.r.servers["a"], g.r.servers["b"]
 	answer := func(id RequestID) { // by b, while a connection or a probe to a hangs
 		g.pass(20 * ms)
-		a.fullUntil = math.MaxInt64
+		a.overloadedUntil = math.MaxInt64
 		g.wantSend(g.ask(id, cAny), id, "b")
-		a.fullUntil = 0
+		a.overloadedUntil = 0
 		g.pass(20 * ms)
 		g.end(id, 0, "b", OK)
 		g.pass(210 * ms)
 	}
-	b.fullUntil = math.MaxInt64
+	b.overloadedUntil = math.MaxInt64
 	g.wantSend(g.ask("lost", cAny), "lost", "a")
-	b.fullUntil = 0
+	b.overloadedUntil = 0
 	answer("1")
 	g.end("lost", 0, "a", Unreachable)
 	for i := range 2 {
@@ -1311,7 +1314,7 @@
 	if a.health != down {
 		t.Errorf("health %v after a connection and two probes that failed", a.health)
 	}
-	if slow := g.r.way(b); slow > 0.05 {
+	if slow := g.r.zoneLatency(b); slow > 0.05 {
 		t.Errorf("the way is taken to cost %v s", slow)
 	}
 }
@@ -1332,7 +1335,7 @@
 	}
 	g = newRig(t, testSettings(), Entry{Server: "p"}, Entry{Server: "a"}, Entry{Server: "b"})
 	g.report("p", RolePrimary, g.now)
-	g.r.servers["p"].fails, g.r.servers["p"].failedAt = 0.95, g.now
+	g.r.servers["p"].lastFailureChance, g.r.servers["p"].failureChanceAt = 0.95, g.now
 	asked := of(Probe, g.ask("2", cBounded))
 	if len(asked) != 2 {
 		t.Fatalf("asked %+v, want the two replicas", asked)
@@ -1343,7 +1346,7 @@
 		t.Fatalf("sent %+v", sent)
 	}
 	g.now += 310 * ms // what was told is too old by now
-	g.r.servers["p"].failedAt = g.now
+	g.r.servers["p"].failureChanceAt = g.now
 	if again := of(Probe, g.end("2", 0, sent[0].Server, Failed)); len(again) == 0 {
 		t.Error("after a failure the others are not asked")
 	}
@@ -1353,8 +1356,8 @@
 // that refuses a read which no report and no answer speaks against.
 func TestGuessRefusesNothing(t *testing.T) {
 	g := trio(t, func(s *Settings) { s.RouterCount, s.LagPolicy = 250, LagRejects })
-	g.r.flow, g.r.sends, g.r.flowSpan, g.r.flowAt = 50, 250, 5, g.now
-	if n, _ := g.r.load(g.r.servers["a"]); n < 2*startWidth {
+	g.r.requestRate, g.r.requestSum, g.r.rateSpan, g.r.rateUpdatedAt = 50, 250, 5, g.now
+	if n, _ := g.r.load(g.r.servers["a"]); n < 2*initialLimit {
 		t.Fatalf("load %v: the guess should be high here", n)
 	}
 	out := g.ask("1", cAny)
@@ -1370,11 +1373,11 @@
 		first := of(Send, g.ask("1", cAny))[0].Server
 		a := g.r.servers[first]
 		for range 39 { // the router is awake: this is no standstill of its own
-			g.pass(beat)
+			g.pass(housekeepingInterval)
 		}
 		g.end("1", 0, first, OK)
-		if got := a.told > startWidth; got != avoids {
-			t.Errorf("%d routers: told of %v requests there, want load seen: %v", siblings, a.told, avoids)
+		if got := a.othersInFlight > initialLimit; got != avoids {
+			t.Errorf("%d routers: told of %v requests there, want load seen: %v", siblings, a.othersInFlight, avoids)
 		}
 	}
 }
@@ -1419,11 +1422,11 @@
 		list[0].Group = 7 // moved
 		g.do(&List{Kind: ListFull, Entries: list[:250]})
 		g.do(&List{Kind: ListChanges, Entries: []Entry{{Server: "s1", State: Draining}, {Server: "s1", State: Removed}, {Server: "s1"}}})
-		g.pass(goneKeep + 3*time.Second)
-		if len(g.r.reqs) != 0 || g.r.open > 500 {
-			t.Errorf("%d siblings: %d requests and %d attempts left", siblings, len(g.r.reqs), g.r.open)
+		g.pass(removedRetention + 3*time.Second)
+		if len(g.r.requests) != 0 || g.r.inFlight > 500 {
+			t.Errorf("%d siblings: %d requests and %d attempts left", siblings, len(g.r.requests), g.r.inFlight)
 		}
-		if g.r.servers["s1"] == nil || !g.r.servers["s1"].listed() {
+		if g.r.servers["s1"] == nil || !g.r.servers["s1"].allowedByList() {
 			t.Error("drained, gone and back: not usable")
 		}
 	}
@@ -1461,7 +1464,7 @@
 		if s.health != healthy {
 			t.Fatalf("after one %+v: health %v", broken, s.health)
 		}
-		if got := of(Probe, g.pass(2*beat)); len(got) != 1 || got[0].Server != "p" {
+		if got := of(Probe, g.pass(2*housekeepingInterval)); len(got) != 1 || got[0].Server != "p" {
 			t.Fatalf("asked %+v", got)
 		}
 		g.do(&ProbeResult{Server: "p", Result: OK})
@@ -1472,12 +1475,12 @@
 	if s.health != down {
 		t.Fatalf("after two: health %v", s.health)
 	}
-	g.now += outage
+	g.now += restartOutage
 	g.end("held", 0, "p", OK) // it was alive all the time
 	g.now += 10 * ms
 	g.report("p", RolePrimary, g.now)
-	if s.health == down || g.r.warmth(s) < 1 {
-		t.Errorf("health %v, warmth %v", s.health, g.r.warmth(s))
+	if s.health == down || g.r.capacityFraction(s) < 1 {
+		t.Errorf("health %v, warmth %v", s.health, g.r.capacityFraction(s))
 	}
 }
 
@@ -1488,12 +1491,12 @@
 	g.ask("open", cUnsafe) // its group is tended to
 	g.r.servers["a"].health = down
 	last := g.now
-	for n := range probeSoon + 3 {
-		for g.pass(beat); !g.r.servers["a"].probing && g.now-last < time.Minute; {
-			g.pass(beat)
+	for n := range probeBackoffAfter + 3 {
+		for g.pass(housekeepingInterval); !g.r.servers["a"].probing && g.now-last < time.Minute; {
+			g.pass(housekeepingInterval)
 		}
-		want := probeDown << max(0, n-probeSoon)
-		if took := g.now - last; n > 0 && (took < want || took > want+2*beat) {
+		want := downProbeInterval << max(0, n-probeBackoffAfter)
+		if took := g.now - last; n > 0 && (took < want || took > want+2*housekeepingInterval) {
 			t.Errorf("probe %d after %v, want %v", n, took, want)
 		}
 		last = g.now
@@ -1534,7 +1537,7 @@
 		g.pass(time.Second)
 		g.ask(RequestID(fmt.Sprint("a", g.now)), cAny)
 	}
-	if len(g.r.groups) != groups || len(g.r.gorder) != groups || g.r.servers["x"] != nil {
+	if len(g.r.groups) != groups || len(g.r.sortedGroups) != groups || g.r.servers["x"] != nil {
 		t.Errorf("%d groups, %d before; %v", len(g.r.groups), groups, g.r.servers["x"])
 	}
 }
@@ -1621,7 +1624,7 @@
 			}
 		}
 	}
-	return all[0].r.width(all[0].r.servers["a"])
+	return all[0].r.concurrencyLimit(all[0].r.servers["a"])
 }
 
 // TestWidthIsLearned: how many requests a server serves at full rate is told nowhere. Taken for less, requests wait here while
@@ -1633,7 +1636,7 @@
 		cores, load, at, to float64
 	}{
 		{2, 11, 0.8, 6, 22}, {3, 11, 0.8, 6, 22}, {1, 24, 0.8, 12, 48}, {2, 2, 0.8, 4, 5}, {3, 4, 0.8, 4, 8.1},
-		{2, 11, 0.1, startWidth, 22}, {fewRouters + 1, 11, 0.8, startWidth, startWidth},
+		{2, 11, 0.1, initialLimit, 22}, {fewRouters + 1, 11, 0.8, initialLimit, initialLimit},
 	} {
 		for seed := range uint64(3) {
 			if got := served(t, seed, c.routers, c.cores, c.load, time.Minute); got < c.at || got > c.to {
