--- a/api.go
+++ b/api.go
@@ -2,12 +2,13 @@
 // groups of one primary and its replicas. It holds decisions only: no sockets, no clock, no
 // goroutines. The embedding proxy feeds events to a Router and carries out its actions.
 //
-// This file is the interface: settings, events and actions. Decisions are in router.go, those on health in health.go.
+// This file defines the interface: settings, events and actions. The decisions are in router.go, those on the
+// health of servers in health.go.
 package beechgrade
 
 import "time"
 
-// Time is a reading of the embedder's monotonic clock. Its origin does not matter.
+// Time is a reading of the embedding proxy's monotonic clock. Its origin does not matter.
 type Time = time.Duration
 
 // ServerID identifies one server (its address). RequestID identifies one request.
@@ -19,7 +20,6 @@
 // Effect says what repeating a request may do.
 type Effect uint8
 
-// The effects.
 const (
 	Safe         Effect = iota // may be repeated at will
 	Deduplicated               // the servers of the scope drop repeats within the deduplication window
@@ -29,7 +29,6 @@
 // Scope says which servers drop the repeats of a deduplicated request.
 type Scope uint8
 
-// The scopes.
 const (
 	ScopeAll Scope = iota
 	ScopeZone
@@ -39,26 +38,24 @@
 // ReadKind says which members of its group may take a request.
 type ReadKind uint8
 
-// The kinds.
 const (
 	ReadAny     ReadKind = iota // every member
-	ReadBounded                 // data no older than the class's bound at the send
-	ReadSession                 // data that holds the session's own writes
-	ReadFresh                   // everything written before the request came: the primary
+	ReadBounded                 // members whose data at the send is no older than StalenessBound
+	ReadSession                 // members whose data includes the session's own writes
+	ReadFresh                   // the primary, whose data includes all earlier writes
 	Write                       // the primary
 )
 
 // LagPolicy says what a replica does with a read when its data is older than the read allows.
 type LagPolicy uint8
 
-// The lag policies.
 const (
 	LagServesStale LagPolicy = iota // the replica answers from stale data, so the router has to prevent it
 	LagRejects                      // the replica rejects the read without running it
 	LagWaits                        // the replica waits up to LagWaitTime, then rejects the read without running it
 )
 
-// Class is the contract of one kind of request.
+// Class describes one class of requests.
 type Class struct {
 	LatencyTarget  time.Duration // an answer within this time has the full value
 	Deadline       time.Duration // the client gives up after this time
@@ -71,10 +68,11 @@
 	StalenessBound time.Duration // the greatest age of the data, for ReadBounded
 }
 
-// Tenant is a customer with a share; Allowance is in requests a second over all routers, 0 for no limit.
+// Tenant is a customer. Allowance is its share of the capacity, in requests a second over all routers, or 0 for
+// no limit.
 type Tenant struct{ Allowance float64 }
 
-// Settings is what a router is told when it starts.
+// Settings holds the configuration of a router.
 type Settings struct {
 	RouterCount     int // number of routers in this tier, including this one
 	Zone            int
@@ -94,7 +92,7 @@
 	MayCancel     bool
 	MayDuplicate  bool
 	MayProbe      bool
-	MaxRetryAfter time.Duration // longest wait that clients may be advised to keep, 0 for no advice
+	MaxRetryAfter time.Duration // longest retry delay that clients may be advised, 0 for no advice
 	MaxAttempts   int
 
 	DrainGrace       time.Duration
@@ -108,10 +106,10 @@
 	ReportsInAnswers bool          // answers carry load reports as well
 }
 
-// Event is something the router is told.
+// Event is an input to the router.
 type Event interface{ event() }
 
-// Request is a client's request; the router now owes it exactly one final answer.
+// Request is a client's request. It gets exactly one final answer.
 type Request struct {
 	ID          RequestID
 	Class       int
@@ -127,7 +125,6 @@
 // Result says how an attempt or probe ended.
 type Result uint8
 
-// The results.
 const (
 	OK          Result = iota
 	Failed             // the server answered with an error; it may have had an effect
@@ -135,7 +132,7 @@
 	TimedOut           // no answer in time
 	Unreachable        // no connection: never sent
 	Reset              // the connection dropped with the attempt in flight
-	Cancelled          // called off by the router
+	Cancelled          // cancelled by the router
 	Skipped            // never sent: the request was over
 	Misdirected        // rejected without running: the server is not the primary, or its data is too old
 )
@@ -144,7 +141,7 @@
 var resultNames = [...]string{OK: "ok", Failed: "failed", Overloaded: "full", TimedOut: "timedout", Unreachable: "unreachable",
 	Reset: "reset", Cancelled: "cancelled", Skipped: "skipped", Misdirected: "missed"}
 
-// String is the result's name.
+// String returns the result's name.
 func (r Result) String() string {
 	if int(r) < len(resultNames) {
 		return resultNames[r]
@@ -152,10 +149,9 @@
 	return "unknown"
 }
 
-// Role is what an answer or report tells of a server's role.
+// Role is a server's role as stated in an answer or report.
 type Role uint8
 
-// The roles.
 const (
 	RoleUnknown Role = iota
 	RolePrimary
@@ -172,7 +168,7 @@
 	HasInFlight bool
 }
 
-// Outcome ends an attempt. Final is set when the request is over.
+// Outcome reports the end of an attempt. Final is set if the request has ended with it.
 type Outcome struct {
 	ID         RequestID
 	Attempt    int
@@ -186,7 +182,7 @@
 // Abandoned reports that a request is over because its client has gone.
 type Abandoned struct{ ID RequestID }
 
-// ProbeResult is the answer to a probe.
+// ProbeResult reports the result of a probe.
 type ProbeResult struct {
 	Server ServerID
 	Result Result
@@ -196,25 +192,23 @@
 // ListKind says what a List event holds.
 type ListKind uint8
 
-// The kinds of list.
 const (
 	ListChanges  ListKind = iota // changed entries only
-	ListFull                     // everything; what is missing is gone
-	ListRestored                 // everything as last seen, perhaps stale
-	ListFailed                   // a list call failed; the old list stands
+	ListFull                     // all entries; a server that is missing has been removed
+	ListRestored                 // all entries as last seen, perhaps out of date
+	ListFailed                   // a call for the list failed; the previous list stays valid
 )
 
 // ServerState is a server's state in the list.
 type ServerState uint8
 
-// The states.
 const (
 	Serving ServerState = iota
 	Draining
 	Removed
 )
 
-// Entry is a line of the server list.
+// Entry is an entry of the server list.
 type Entry struct {
 	Server      ServerID
 	Group       int
@@ -226,13 +220,13 @@
 	Primary     bool
 }
 
-// List is news of the servers.
+// List is an update of the server list.
 type List struct {
 	Kind    ListKind
 	Entries []Entry
 }
 
-// Timer is a wake-up that the router asked for.
+// Timer reports that the timer set with this Tag has fired.
 type Timer struct{ Tag int64 }
 
 func (*Request) event()     {}
@@ -242,23 +236,22 @@
 func (*List) event()        {}
 func (*Timer) event()       {}
 
-// ActionKind says what an Action asks for.
+// ActionKind says what an Action requests.
 type ActionKind uint8
 
-// The actions.
 const (
 	Send      ActionKind = iota // start the next attempt of ID at Server with time-out Wait, unless SendDeadline passes first
 	Cancel                      // stop waiting for attempt Attempt of ID
 	Refuse                      // final answer: trying again is harmless, best after Wait
-	Fail                        // final answer: nothing is promised
+	Fail                        // final answer: the request may have had an effect
 	Probe                       // probe Server
-	SetTimer                    // send a Timer with Tag at At
+	SetTimer                    // deliver a Timer event with Tag at time At
 	Subscribe                   // subscribe to the server list
-	FetchList                   // ask for the whole list once
-	Log                         // a line for the log
+	FetchList                   // fetch the full list once
+	Log                         // write Text to the log
 )
 
-// Action is something the router asks its embedder to do, in order.
+// Action is something that the embedding proxy has to do. Actions are carried out in order.
 type Action struct {
 	Kind         ActionKind
 	ID           RequestID
@@ -268,5 +261,5 @@
 	At           Time
 	SendDeadline Time // an attempt that still waits for a connection at this time ends as Skipped
 	Tag          int64
-	Text         string // of a Log; of a Refuse or Fail: why
+	Text         string // message of a Log, reason of a Refuse or Fail
 }
--- a/health.go
+++ b/health.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// recordZoneLatency notes the time of a probe or a failed connection, and tells whether the way may explain
-// a failure.
+// recordZoneLatency records how long a probe or failed connection took, and reports whether a slow path to
+// the zone may explain a failure.
 func (r *Router) recordZoneLatency(s *server, took Time) bool {
 	lastAnsweredSend := r.zoneLatencies[s.entry.Zone].lastAnsweredSend
-	if lastAnsweredSend > r.now-took { // others got through and back meanwhile: it is the server
+	if lastAnsweredSend > r.now-took { // a later send into the zone was answered, so the path is fast
 		return false
 	}
 	r.zoneLatencies[s.entry.Zone] = zoneLatency{
@@ -17,13 +17,14 @@
 	return s.entry.Zone != r.cfg.Zone && took >= pauseThreshold
 }
 
-// failureChance is the chance that a server answers a request with a failure: from its last answers,
-// fading.
+// failureChance returns the chance that a server answers a request with a failure, estimated from its last
+// answers. Without new ones it falls to zero over failureMemory.
 func (r *Router) failureChance(s *server) float64 {
 	return s.lastFailureChance * r.freshness(s.failureChanceAt, failureMemory)
 }
 
-// recordAnswer notes an answer. One sent before the server was found bad does not show that it takes more.
+// recordAnswer records an answer. The answer to an attempt sent before the server was found down does not
+// show that the server accepts new requests.
 func (r *Router) recordAnswer(s *server, a *attempt) {
 	latency := r.zoneLatencies[s.entry.Zone]
 	latency.lastAnsweredSend = max(latency.lastAnsweredSend, a.sentAt)
@@ -35,7 +36,8 @@
 	}
 }
 
-// markHealthy takes a server back. One that refused connections for a while probably restarted and is cold.
+// markHealthy puts a server back into use. If it refused connections for restartOutage, it has probably
+// restarted and is cold.
 func (r *Router) markHealthy(s *server) {
 	if s.health == down && s.refusedSince != 0 && r.now-s.refusedSince >= restartOutage {
 		s.coldSince = max(s.coldSince, r.now)
@@ -50,8 +52,8 @@
 	s.health, s.downAt = down, r.now
 }
 
-// recordRefusal notes a connection that was refused or broke. Healthy servers' break too: only a second one
-// with no answer between takes the server out. A probe asks meanwhile.
+// recordRefusal records a refused or broken connection. Connections to healthy servers also break, so a
+// healthy server is marked down only by a second one without an answer in between. It is probed meanwhile.
 func (r *Router) recordRefusal(s *server) {
 	if s.refusedSince != 0 || s.health != healthy {
 		r.markDown(s)
@@ -61,12 +63,12 @@
 	}
 }
 
-// isSilent tells whether a server left requests unanswered for longer than chance explains. Probes do not
-// count.
+// isSilent reports whether a server has left requests unanswered for longer than chance explains. Probes do
+// not count.
 func (r *Router) isSilent(s *server) bool {
 	firstSent, n, longest := r.now, 0.0, r.meanWork
 	for _, a := range s.inFlight {
-		if a.overtakenBy == 0 && !a.presumedLost { // one overtaken tells of itself, not of the server
+		if a.overtakenBy == 0 && !a.presumedLost { // an overtaken attempt says nothing about the server
 			firstSent, n, longest = min(firstSent, a.sentAt), n+1, max(longest, a.req.expectedWork())
 		}
 	}
@@ -84,7 +86,7 @@
 	slowZone := s.probing && r.recordZoneLatency(s, r.now-s.lastProbe)
 	s.probing = false
 	if e.Result == Overloaded || e.Result == Failed || e.Result == Skipped || e.Result != OK && slowZone {
-		return // what tells nothing: it neither takes a server out nor back
+		return // inconclusive: it neither marks the server down nor puts it back into use
 	}
 	if e.Result != OK {
 		s.probeFailures++
@@ -96,10 +98,11 @@
 		return
 	}
 	s.probeFailures = 0
-	// A primary's position is the present, so it is the time of the report.
+	// The position of a primary is the current time, so it is the time of the report as well.
 	r.applyReport(s, e.Report, e.Report.Position)
 	if s.health == down {
-		// Reached beside its queue: requests have to prove it. What it held may be gone and is no load.
+		// Probes bypass the server's queue, so requests have to show that it works. Its attempts in flight
+		// may be lost and do not count as load.
 		r.markHealthy(s)
 		s.health = onTrial
 		s.presumeAllLost()
@@ -108,7 +111,7 @@
 	r.dispatch(s.group)
 }
 
-// probe asks a server how it is, unless it was asked within pause.
+// probe probes a server unless that was done within pause.
 func (r *Router) probe(s *server, pause time.Duration) {
 	if !r.cfg.MayProbe || s.probing || !s.allowedByList() ||
 		s.lastProbe != never && r.now-s.lastProbe < pause {
@@ -118,8 +121,8 @@
 	r.emit(Action{Kind: Probe, Server: s.id})
 }
 
-// checkHealth finds silent servers of a busy group, and probes those down, or all while a write waits for a
-// primary.
+// checkHealth marks the silent servers of a busy group down and probes the servers that are down or refused a
+// connection. It probes all members while a write or fresh read waits and no primary is usable.
 func (r *Router) checkHealth(g *group) {
 	p := r.primary(g)
 	seekPrimary := (p == nil || !p.usable()) && slices.ContainsFunc(g.waiting, (*request).primaryOnly)
@@ -140,13 +143,13 @@
 	}
 }
 
-// probePause is the time between probes of a server thought down.
+// probePause returns the time between probes of a server that is down.
 func probePause(s *server) Time {
 	return downProbeInterval << min(max(0, s.probeFailures-probeBackoffAfter), maxProbeDoublings)
 }
 
-// startTrial puts a server that is down on trial after a while, where no probe may ask whether it is well:
-// only requests can tell then.
+// startTrial puts a server that is down on trial after a pause. It is used where probes are not allowed, as
+// only requests can then show whether the server is up.
 func (r *Router) startTrial(s *server) {
 	if r.now-s.downAt < probePause(s) {
 		return
@@ -158,8 +161,8 @@
 	s.presumeAllLost()
 }
 
-// recordLoss counts an ended attempt towards the part that is lost. One called off early may have been
-// slow.
+// recordLoss updates the loss rate when an attempt ends. An attempt that was cancelled or timed out early may
+// only have been slow, so it counts half.
 func (r *Router) recordLoss(s *server, a *attempt, result Result) {
 	lost := 0.0
 	switch {
--- a/router.go
+++ b/router.go
@@ -1,6 +1,6 @@
 package beechgrade
 
-// The module: every decision, table and tuned value.
+// This file holds the routing decisions and the tuned constants of the module.
 
 import (
 	"cmp"
@@ -155,7 +155,7 @@
 	deadlineMarginTicks = 2
 )
 
-// New makes a router. The seed is its only source of randomness.
+// New returns a router. The seed is its only source of randomness.
 func New(cfg Settings, seed uint64) *Router {
 	r := &Router{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0)), servers: map[ServerID]*server{},
 		groups: map[int]*group{}, requests: map[RequestID]*request{}, forgottenCommit: never,
@@ -176,7 +176,7 @@
 	return r
 }
 
-// Handle takes one event at time now and appends what is to be done to out.
+// Handle processes one event at time now and appends the resulting actions to out.
 func (r *Router) Handle(now Time, e Event, out []Action) []Action {
 	r.now, r.actions = max(now, r.now), out
 	if r.nextRefresh == 0 {
@@ -186,8 +186,8 @@
 		}
 	}
 	if r.timerAt != never && r.now-r.timerAt > pauseThreshold {
-		// Our own standstill must not count against servers. One that died meanwhile is silent a little
-		// later.
+		// A pause of this process must not count against the servers. A server that died during the pause
+		// is detected a little later.
 		r.timerAt = r.now
 		r.markAllUntimed()
 	}
@@ -212,7 +212,8 @@
 		r.nextSubscribe, r.lastSubscribe = math.MaxInt64, r.now
 		r.emit(Action{Kind: Subscribe})
 	}
-	// A timer only while something is open or due: hundreds of idle routers cost nothing.
+	// The timer runs only while something is in flight, waiting or scheduled, so that hundreds of idle
+	// routers cost nothing.
 	if r.timerAt == never && (len(r.requests) > 0 || r.inFlight > 0 || r.nextSubscribe < math.MaxInt64) {
 		r.timerAt = r.now + housekeepingInterval
 		r.emit(Action{Kind: SetTimer, At: r.timerAt})
@@ -222,7 +223,7 @@
 
 func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
 
-// capacityFraction is the part of its capacity that a server can be counted on for.
+// capacityFraction returns the part of its capacity that a server has now: less than 1 while it is cold.
 func (r *Router) capacityFraction(s *server) float64 {
 	age := r.now - s.coldSince
 	if r.cfg.ColdDuration <= 0 || age >= r.cfg.ColdDuration {
@@ -231,8 +232,8 @@
 	return r.cfg.ColdCapacity + (1-r.cfg.ColdCapacity)*max(0, age.Seconds())/r.cfg.ColdDuration.Seconds()
 }
 
-// warmRate is a server's rate when warm: its kind's, taught by all answers, times its own; one hears
-// little.
+// warmRate returns a server's rate when it is warm: the rate of its machine type, learned from all answers,
+// times its relative rate. A single server's answers are too few to learn from alone.
 func (r *Router) warmRate(s *server) float64 {
 	return r.machineRates[s.entry.MachineType] * s.relativeRate
 }
@@ -241,19 +242,20 @@
 
 func seconds(x float64) Time { return Time(x * float64(time.Second)) }
 
-// currentRate is the rate for one request alone now. A cold server's old good rate would win every pick
-// otherwise.
+// currentRate returns the rate that a single request would get now. With its warm rate, a cold server would
+// win every pick.
 func (r *Router) currentRate(s *server) float64 { return r.warmRate(s) * r.capacityFraction(s) }
 
-// freshness is what is left, from 1 to 0, of something last heard of then.
+// freshness returns the weight of information from time at, which falls from 1 to 0 over memory.
 func (r *Router) freshness(at Time, memory time.Duration) float64 {
 	return max(0, 1-(r.now-at).Seconds()/memory.Seconds())
 }
 
-// load is the number of requests at a server, ours but for those thought lost, and others': what was told
-// of them fades towards a guess, as many routers that each see an idle server would crowd it together. A
-// guess may steer, but not refuse: as evidence, it counts no more than if each other router had as many
-// there.
+// load returns the number of requests in flight at a server: this router's, without those presumed lost, and
+// the other routers'. The last report of the others' changes gradually into an estimate, since many routers
+// that each see an idle server would overload it together. The likely load, with the full estimate, may only
+// influence the choice of a server. Requests are held back by the evident load, in which each other router
+// counts for at most a fixed part of this router's own requests there.
 func (r *Router) load(s *server) (likely, evident float64) {
 	own := float64(len(s.inFlight) - s.presumedLost)
 	fresh := r.freshness(s.loadReportedAt, 2*refreshInterval)
@@ -263,7 +265,7 @@
 		maxOthersRatio*float64((len(s.inFlight)-s.presumedLost)*(r.cfg.RouterCount-1)))
 }
 
-// advanceService moves a server's virtual service up to now; call it before its load changes.
+// advanceService brings a server's virtual service up to now. It has to be called before the load changes.
 func (r *Router) advanceService(s *server) {
 	if elapsed := (r.now - s.serviceUpdatedAt).Seconds(); elapsed > 0 {
 		n, _ := r.load(s)
@@ -272,18 +274,20 @@
 	s.serviceUpdatedAt = r.now
 }
 
-// estimateOthersLoad is what the other routers are taken to have in flight at a server: each as much as
-// this one, on average. One that seldom has a request out goes round the members at the pace of their
-// rates.
+// estimateOthersLoad returns an estimate of the other routers' requests in flight at a server: each has as
+// many as this one has on average. As this router's traffic share counts, a router that seldom has a request
+// in flight chooses the members in a round robin weighted by their rates.
 func (r *Router) estimateOthersLoad(s *server) float64 {
 	n := float64(r.cfg.RouterCount-1) * r.perGroup(r.requestRate) * s.trafficShare * r.meanWork /
 		r.currentRate(s)
 	utilization := min(0.95, n/r.concurrencyLimit(s))
-	return n / (1 - utilization*utilization) // and what waits there, which grows with use
+	return n / (1 - utilization*utilization) // includes queueing, which grows with utilization
 }
 
-// cost is equation 2 of the paper: the read's own time at its max-min fair share plus the slowdown of this
-// router's requests there, each by its worth against the read's: so a primary full of writes is spared.
+// cost returns the cost of sending a read to a server, in seconds, by equation 2 of the paper: the read's own
+// time at its max-min fair share, plus the slowdown of this router's requests there, each weighted by its
+// value relative to the read's. Reads therefore avoid a primary that is full of writes. shareAfter is the
+// rate that each request would have after the send.
 func (r *Router) cost(s *server, q *request) (cost, shareAfter float64) {
 	r.advanceService(s)
 	rate := r.currentRate(s)
@@ -295,30 +299,31 @@
 	}
 	cost = q.expectedWork() / shareAfter
 	for _, a := range s.inFlight {
-		w := a.req.expectedWork()
-		rest := max(w-(s.service-a.serviceAtSend)*rate, minRemainingWork*w)
-		cost += (rest/shareAfter - rest/shareNow) * a.req.value / q.value
+		work := a.req.expectedWork()
+		remaining := max(work-(s.service-a.serviceAtSend)*rate, minRemainingWork*work)
+		cost += (remaining/shareAfter - remaining/shareNow) * a.req.value / q.value
 	}
-	// A failed answer comes quickly and leaves its server idle: without its chance a failing server
-	// wins picks.
+	// Failed answers come quickly and leave their server idle, so without this factor a failing server would
+	// win the picks.
 	cost /= 1 - r.failureChance(s)
 	if s.entry.Zone != r.cfg.Zone {
-		cost += r.cfg.CrossZoneCost * q.class.LatencyTarget.Seconds() // in time: a worth is an aim
+		cost += r.cfg.CrossZoneCost * q.class.LatencyTarget.Seconds() // the value counts as a target's length
 	}
 	cost += r.zoneLatency(s)
 	return cost, shareAfter
 }
 
-// zoneLatency is the time that probes into the server's zone took lately. A slow way must not be taken for
-// slow or dead servers: they are well in their own zone, and a primary there still takes writes.
+// zoneLatency returns the recent latency of probes into the server's zone, in seconds. Servers behind a slow
+// path must not count as slow or down: they work well in their own zone, and a primary there still takes
+// writes.
 func (r *Router) zoneLatency(s *server) float64 {
 	return r.zoneLatencies[s.entry.Zone].latency *
 		r.freshness(r.zoneLatencies[s.entry.Zone].measuredAt, zoneLatencyMemory)
 }
 
-// hasCapacity tells whether a server can take one more: without making requests there too slow for the
-// least aim, or, where none is ours, this one. What finds no room waits here, for whichever server frees
-// first.
+// hasCapacity reports whether a server can take one more request without making the requests there too slow
+// for the smallest latency target or, if none of them is this router's, without making this one too slow. A
+// request that no server has capacity for waits in the router for the first server that does.
 func (r *Router) hasCapacity(s *server, q *request) bool {
 	if r.now < s.overloadedUntil || s.health == onTrial && len(s.inFlight)-s.presumedLost >= trialRequests {
 		return false
@@ -339,12 +344,12 @@
 		r.meanWork/rate <= overLimitMeanShare*r.minLatencyTarget.Seconds()
 }
 
-// perGroup is a group's part of this router's own flow.
-func (r *Router) perGroup(flow float64) float64 { return flow / float64(max(1, len(r.sortedGroups))) }
+// perGroup returns the average group's part of one of this router's rates.
+func (r *Router) perGroup(rate float64) float64 { return rate / float64(max(1, len(r.sortedGroups))) }
 
-// primaryHasSpare tells whether a primary has more than the writes and fresh reads of all routers need,
-// judged by this router's own. Reads can go elsewhere, they cannot; few routers see enough of them to spare
-// it by cost.
+// primaryHasSpare reports whether a primary has more capacity than the writes and fresh reads of all routers
+// need, judged by this router's own. Other reads can go to replicas, but these cannot. In a small tier each
+// router sees enough of them for the cost to keep other reads away.
 func (r *Router) primaryHasSpare(s *server) bool {
 	if fewRouters >= r.cfg.RouterCount {
 		return true
@@ -354,13 +359,15 @@
 		r.concurrencyLimit(s)*r.capacityFraction(s)
 }
 
-// expectedWork is the request's expected work: its class's average, by its hint where it came with one.
+// expectedWork returns the average work of the request's class, scaled by the request's work hint if any.
 func (q *request) expectedWork() float64 { return q.class.meanWork * q.relativeWork }
 
-// slowStartAdmits keeps the fall rule: this router's part of the budget of all, as a leaky bucket of half a
-// span. Where that is less than a request, chance lets through what all together may send of what they are
-// asked for: a bucket of each would hold credit where nothing is asked, and writes would wait at an idle
-// cold primary. Each member takes a part of its own of the requests: after a release all are cold at once.
+// slowStartAdmits reports whether a cold server may be sent the request without a risk of overload. This
+// router has a part of the overload budget of all routers, as a leaky bucket that holds half of what may be
+// sent in OverloadTime. If the bucket is smaller than the request, the admission draw decides, so that all
+// routers together send as much as the budget allows of what they receive: separate buckets would leave
+// credit with routers that receive nothing, and writes would wait for an idle cold primary. Each member
+// admits a different range of draws, as after a deployment all members are cold at once.
 func (r *Router) slowStartAdmits(s *server, q *request) bool {
 	if r.cfg.OverloadMultiple <= 0 || r.cfg.OverloadTime <= 0 {
 		return true
@@ -374,7 +381,7 @@
 		if s == r.primary(q.group) && q.primaryOnly() {
 			demand = primaryDemand
 		} else if s == r.primary(q.group) {
-			budget -= primaryDemand // reads can go elsewhere
+			budget -= primaryDemand // other reads can go to replicas
 		}
 		return math.Mod(q.admissionDraw+offset, 1)*demand < budget
 	}
@@ -383,8 +390,8 @@
 	return s.coldWork <= depth
 }
 
-// freshEnough tells whether a server's data is known to be new enough, and whether it may be: by pace or
-// time.
+// freshEnough reports whether a server's data is known to be new enough for the request, and whether it is
+// likely to be: if its position is unknown or was not reported for long, or by the rate at which it advances.
 func (r *Router) freshEnough(s *server, q *request) (known, likely bool) {
 	minPosition := q.minPosition
 	if q.class.Read == ReadBounded {
@@ -398,7 +405,7 @@
 		s.position+time.Duration(float64(r.now-s.positionAt)*s.applyRate) >= minPosition
 }
 
-// primary is the group's primary by the latest evidence, or nil while none is known.
+// primary returns the group's primary by the latest evidence, or nil if none is known.
 func (r *Router) primary(g *group) *server {
 	var best *server
 	for _, s := range g.members {
@@ -413,11 +420,11 @@
 
 func (s *server) usable() bool { return s.allowedByList() && s.health != down }
 
-// allowedByList tells whether the list lets it be used: where only draining binds, a server that vanished
-// may be.
+// allowedByList reports whether the server list allows its use. With soft removal, a server that is missing
+// from the list may be used unless it was draining.
 func (s *server) allowedByList() bool { return !s.draining && (s.removedAt == 0 || s.softRemoval) }
 
-// chooseServer finds the server for a request, or nil if it has to wait.
+// chooseServer returns the server for a request, or nil if the request has to wait.
 func (r *Router) chooseServer(q *request) *server {
 	p := r.primary(q.group)
 	if q.primaryOnly() {
@@ -441,7 +448,7 @@
 		if q.class.Read == ReadAny && q.class.meanWork > longReadRatio*r.meanWork {
 			c *= 1 + fillOrderCost*r.fillOrder(s)
 		}
-		if !fresh { // a wrong guess costs a turn; where servers do not check, they are asked first
+		if !fresh { // a wrong guess costs a round trip; servers that would answer stale are probed first
 			c += (2 * r.cfg.Tick).Seconds() + r.probeCost(q)
 		}
 		if (fresh || r.cfg.LagPolicy != LagServesStale) && c < knownCost {
@@ -454,7 +461,7 @@
 		}
 	}
 	wait := best != nil && r.awaitsProbe(q, best)
-	if next != nil && secondCost <= 2*leastCost { // one that might turn out best
+	if next != nil && secondCost <= 2*leastCost { // the second may turn out cheaper
 		wait = r.awaitsProbe(q, next) || wait
 	}
 	if wait {
@@ -463,8 +470,9 @@
 	return bestKnown
 }
 
-// fillOrder orders a group's members, from 0 to 1, alike for all routers, the primary last. Long reads that
-// take any data hold up the log where they run: they fill member after member, so that the others keep up.
+// fillOrder returns a server's place among its group's members, from 0 to 1, the primary last. The order is
+// the same in all routers. Long reads that accept any data delay the replay of the log where they run, so
+// they fill one member after another, and the other members keep up.
 func (r *Router) fillOrder(s *server) float64 {
 	before := 0
 	for _, o := range s.group.members {
@@ -479,8 +487,9 @@
 	return r.cfg.ProbeCost * q.class.LatencyTarget.Seconds()
 }
 
-// awaitsProbe probes a server for a request and tells whether to wait for that: because its position must
-// be known, or because what others seem to have waiting there costs more than a probe.
+// awaitsProbe probes a server for a request if needed, and reports whether the request has to wait for the
+// result: because the server's position must be known, or because the expected queueing behind other
+// routers' requests there costs more than a probe.
 func (r *Router) awaitsProbe(q *request, s *server) bool {
 	fresh, _ := r.freshEnough(s, q)
 	n, _ := r.load(s)
@@ -501,8 +510,8 @@
 	return r.now < q.awaitProbesUntil
 }
 
-// attemptsExhausted tells that a request may not go again: if it may have run, an unsafe one never, a keyed
-// one in time.
+// attemptsExhausted reports whether a request must not be sent again. Once it may have run, an unsafe request
+// must never be repeated, and a deduplicated one only within its window.
 func (r *Router) attemptsExhausted(q *request) bool {
 	return len(q.attempts) >= r.cfg.MaxAttempts || q.inFlight > 0 && !r.cfg.MayDuplicate ||
 		q.possiblyRan && (q.class.Effect == Unsafe ||
@@ -524,7 +533,7 @@
 	if s == nil ||
 		q.possiblyRan && q.class.Effect == Deduplicated && q.class.Scope == ScopeZone &&
 			s.entry.Zone != q.possiblyRanZone {
-		return false // only the first's zone drops repeats
+		return false // only the zone of the first attempt drops repeats
 	}
 	_, shareAfter := r.cost(s, q)
 	a := &attempt{req: q, server: s, number: len(q.attempts), sentAt: r.now, serviceAtSend: s.service}
@@ -540,8 +549,9 @@
 	return true
 }
 
-// sendDeadline is until when the request may be sent there. A connection may be long in coming up, and what
-// makes the send right now, the age of the data or the window of repeats, runs on meanwhile.
+// sendDeadline returns the time until which the request may be sent to the server. While it waits for a
+// connection, the server's data ages and the deduplication window runs on, so a send that is allowed now may
+// not be later.
 func (r *Router) sendDeadline(q *request, s *server) Time {
 	deadline := Time(math.MaxInt64)
 	if q.class.Read == ReadBounded && r.cfg.LagPolicy == LagServesStale && s != r.primary(q.group) {
@@ -558,11 +568,11 @@
 		return
 	}
 	if e.Class < 0 || e.Class >= len(r.classes) || e.Deadline <= r.now {
-		r.emit(Action{Kind: Refuse, ID: e.ID, Text: "no time left"})
+		r.emit(Action{Kind: Refuse, ID: e.ID, Text: "unknown class or deadline passed"})
 		return
 	}
 	c := &r.classes[e.Class]
-	if r.groups[e.Group] == nil && len(r.servers) > 0 { // nor does it leave a trace
+	if r.groups[e.Group] == nil && len(r.servers) > 0 { // no group is added for it
 		r.emit(Action{Kind: Refuse, ID: e.ID, Wait: min(r.cfg.MaxRetryAfter, c.LatencyTarget),
 			Text: "no such group"})
 		return
@@ -584,7 +594,8 @@
 		}
 	}
 	if e.Tenant >= 0 && e.Tenant < len(r.tenants) && r.cfg.Tenants[e.Tenant].Allowance > 0 {
-		// This router's part of the tenant's share, as a bucket of a second or of some requests, for clumps.
+		// A token bucket with this router's part of the tenant's allowance. It holds one second's tokens, but
+		// at least minTenantBurst, to allow for bursts.
 		t, rate := &r.tenants[e.Tenant], r.cfg.Tenants[e.Tenant].Allowance/float64(r.cfg.RouterCount)
 		t.tokens = min(max(rate, minTenantBurst), t.tokens+rate*(r.now-t.refilledAt).Seconds())
 		t.refilledAt = r.now
@@ -597,7 +608,7 @@
 	if e.Retry {
 		q.value *= retryValueFactor
 	}
-	if hint := e.Work.Seconds(); hint > 0 { // it tells how this request compares with its class
+	if hint := e.Work.Seconds(); hint > 0 { // the hint counts relative to the class's average hint
 		c.meanHint += max(minWorkGain, 1/(c.hintCount+1)) * (hint - c.meanHint)
 		c.hintCount++
 		q.relativeWork = min(maxHintRatio, hint/c.meanHint)
@@ -616,8 +627,8 @@
 	}
 }
 
-// deadlineNear tells that a request must have its answer before the next beat; one never sent, by half its
-// time.
+// deadlineNear reports whether a request needs its final answer before the next housekeeping run. A request
+// that has not reached a server needs it after half its time.
 func (r *Router) deadlineNear(q *request) bool {
 	end := q.deadline
 	if !q.reachedServer && q.inFlight == 0 {
@@ -626,7 +637,8 @@
 	return r.now+housekeepingInterval+deadlineMarginTicks*r.cfg.Tick >= end
 }
 
-// priority orders held requests: worth for each unit of work, less once only late worth is left.
+// priority returns a waiting request's priority: its value for each unit of work, reduced by the class's late
+// factor after the latency target.
 func (r *Router) priority(q *request) float64 {
 	if r.now > q.targetTime {
 		return q.value * q.class.LateFactor / q.expectedWork()
@@ -634,10 +646,11 @@
 	return q.value / q.expectedWork()
 }
 
-// dispatch sends what can be sent of a group's held requests, dearest first, and gives up what has no use.
+// dispatch sends the waiting requests of a group that can be sent, highest priority first, and finishes those
+// that cannot be answered in time.
 func (r *Router) dispatch(g *group) {
 	slices.SortStableFunc(g.waiting, func(a, b *request) int {
-		// Newest first: under overload the oldest would each be served just too late.
+		// The newest go first: under overload, the oldest would each be answered just too late.
 		return cmp.Or(cmp.Compare(r.priority(b), r.priority(a)), cmp.Compare(b.arrived, a.arrived))
 	})
 	kept, queue := g.waiting[:0:0], g.waiting
@@ -659,7 +672,8 @@
 	g.waiting = append(kept, g.waiting...)
 }
 
-// fastestAnswer is the time that an answer takes where it comes soonest, as loaded as that server is.
+// fastestAnswer returns the shortest expected time to an answer among the group's servers at their present
+// load.
 func (r *Router) fastestAnswer(q *request) Time {
 	if c := q.class; c.fastestAnswerAt != r.now || c.fastestAnswerGroup != q.group {
 		best := never
@@ -675,7 +689,7 @@
 	return seconds(q.class.fastestAnswer.Seconds() * q.relativeWork)
 }
 
-// finish gives the final answer: refused where trying again is harmless, failed where it may not be.
+// finish gives the final answer: Refuse if trying again is harmless, else Fail.
 func (r *Router) finish(q *request, why string) {
 	ran := q.possiblyRan || q.inFlight > 0
 	if q.class.Effect == Safe || !ran || q.class.Effect == Deduplicated && q.class.Scope == ScopeAll {
@@ -687,7 +701,8 @@
 	r.forgetRequest(q)
 }
 
-// forgetRequest drops a request. Its open attempts are called off: what still waits at a server is spared.
+// forgetRequest removes a request. Its attempts in flight are cancelled, so that servers need not run those
+// that are still queued there.
 func (r *Router) forgetRequest(q *request) {
 	q.finished = true
 	delete(r.requests, q.id)
@@ -719,20 +734,20 @@
 	case OK:
 		c := q.class
 		if !a.untimed {
-			got, took := s.service-a.serviceAtSend, (r.now - a.sentAt).Seconds()
-			onTheWay := min(r.zoneLatency(s), took/2)
-			r.recordLatency(s, a, seconds(took-onTheWay))
-			got, took = got*(1-onTheWay/max(took, 1e-9)), took-onTheWay
+			service, took := s.service-a.serviceAtSend, (r.now - a.sentAt).Seconds()
+			pathTime := min(r.zoneLatency(s), took/2)
+			r.recordLatency(s, a, seconds(took-pathTime))
+			service, took = service*(1-pathTime/max(took, 1e-9)), took-pathTime
 			if r.inferLoad(s,
 				r.concurrencyLimit(s)*(took*r.currentRate(s)/q.expectedWork()-loadInferenceRatio)) {
 				n, _ := r.load(s)
-				got = min(got, took*r.rateShare(s, n)*r.capacityFraction(s))
+				service = min(service, took*r.rateShare(s, n)*r.capacityFraction(s))
 			}
 			s.answeredWork += q.expectedWork()
-			s.answeredService += got
+			s.answeredService += service
 			c.answerCount++
 			c.meanWork += max(minWorkGain, 1/(c.answerCount+8)) *
-				(got*r.warmRate(s)*c.meanWork/q.expectedWork() - c.meanWork)
+				(service*r.warmRate(s)*c.meanWork/q.expectedWork() - c.meanWork)
 			c.meanWork = max(c.meanWork, 1e-3)
 			r.meanWork += max(minWorkGain, 1/(r.answerCount+8)) * (c.meanWork - r.meanWork)
 			r.answerCount++
@@ -750,14 +765,15 @@
 		if q.primaryOnly() && e.Report.Role != RolePrimary {
 			s.role, s.roleAt = RoleReplica, r.now
 		} else {
-			s.applyRate /= 2 // it is further behind than guessed
+			s.applyRate /= 2 // it lags further behind than estimated
 		}
 	case Overloaded, Unreachable, Failed, Reset:
-		// No proof that it is down: it costs more for a while, and after a second failure is left for a turn.
+		// None of these proves that the server is down. It costs more for a while, and after a second failure
+		// it gets no requests for one mean service time.
 		if e.Result == Unreachable && !r.recordZoneLatency(s, r.now-a.sentAt) &&
 			r.now-a.sentAt < pauseThreshold {
 			r.recordRefusal(s)
-		} else if e.Result == Unreachable { // not refused at once: a probe tells whether it lives
+		} else if e.Result == Unreachable { // not refused at once: a probe shows whether it is up
 			r.probe(s, downProbeInterval)
 		}
 		if e.Result == Overloaded {
@@ -779,7 +795,7 @@
 	}
 	if e.Result != OK && !q.finished && q.inFlight == 0 {
 		if r.deadlineNear(q) || r.attemptsExhausted(q) {
-			r.finish(q, "no attempt is left after "+e.Result.String())
+			r.finish(q, "no further attempt allowed after "+e.Result.String())
 		} else if !slices.Contains(q.group.waiting, q) {
 			q.group.waiting = append(q.group.waiting, q)
 		}
@@ -789,7 +805,7 @@
 
 func (r *Router) onList(e *List) {
 	if e.Kind == ListFailed {
-		if r.subscribeFailures++; r.now-r.lastSubscribe >= maxSubscribePause { // it had held
+		if r.subscribeFailures++; r.now-r.lastSubscribe >= maxSubscribePause { // it had lasted
 			r.subscribeFailures = 0
 		}
 		pause := min(maxSubscribePause, minSubscribePause<<min(r.subscribeFailures, 9))
@@ -797,20 +813,20 @@
 		return
 	}
 	present := map[ServerID]bool{}
-	for _, n := range e.Entries {
-		present[n.Server] = true
-		s := r.servers[n.Server]
+	for _, entry := range e.Entries {
+		present[entry.Server] = true
+		s := r.servers[entry.Server]
 		if s == nil {
-			if n.State == Removed {
+			if entry.State == Removed {
 				continue
 			}
-			s = r.addServer(n.Server, r.groupFor(n.Group))
+			s = r.addServer(entry.Server, r.groupFor(entry.Group))
 			// Each router begins its round robin at a random member.
 			s.softRemoval, s.trafficShare = r.cfg.SoftRemoval, r.rng.Float64()
 			if r.listReceived {
 				s.trafficShare = 0
 				if r.cfg.MayProbe {
-					s.health = down // it may not exist: a probe comes before any request
+					s.health = down // it may not exist, so it is probed before any request
 				}
 				if e.Kind == ListChanges {
 					// A new machine starts cold, whatever its entry says.
@@ -818,19 +834,19 @@
 				}
 			}
 		}
-		if n.StartedAt > 0 && n.StartedAt > s.entry.StartedAt {
-			s.coldSince = max(s.coldSince, n.StartedAt)
+		if entry.StartedAt > 0 && entry.StartedAt > s.entry.StartedAt {
+			s.coldSince = max(s.coldSince, entry.StartedAt)
 		}
-		if r.cfg.ListShowsRole && n.Primary && s.role == RoleUnknown {
+		if r.cfg.ListShowsRole && entry.Primary && s.role == RoleUnknown {
 			s.role, s.roleAt = RolePrimary, never+1
 		}
-		if n.State == Removed { // what drained before stays barred by that
+		if entry.State == Removed { // a server that was draining stays so
 			s.removedAt = max(r.now, 1)
 			continue
 		}
-		s.entry, s.removedAt, s.draining = n, 0, n.State == Draining
-		if r.machineRates[n.MachineType] == 0 {
-			r.machineRates[n.MachineType] = initialRate
+		s.entry, s.removedAt, s.draining = entry, 0, entry.State == Draining
+		if r.machineRates[entry.MachineType] == 0 {
+			r.machineRates[entry.MachineType] = initialRate
 		}
 	}
 	for _, s := range r.sortedServers {
@@ -844,9 +860,9 @@
 	}
 }
 
-// scheduleSubscribe subscribes after a pause and as much jitter, each router at a time of its own: the list
-// answers one after the other. One that is pushed comes from an agent of this router's own and binds once
-// that has it.
+// scheduleSubscribe schedules a subscribe call after a pause and jitter. The routers spread their calls, as
+// the discovery service answers one after the other. A list that is pushed comes from an agent that serves
+// only this router, and binds as soon as the agent has it, so the delay is short then.
 func (r *Router) scheduleSubscribe(pause time.Duration) {
 	limit, spread := maxSubscribeDelay, pause+subscribeSpacing*time.Duration(r.cfg.RouterCount-1)
 	if !r.cfg.SubscribeList {
@@ -869,14 +885,16 @@
 	}
 }
 
-// retryStuck frees requests, none unsafe, from silent servers and from attempts mislaid, which had several
-// times their work while later ones were answered: by a second copy, else by calling the first off.
+// retryStuck retries requests whose attempt is at a server that is down or is presumed lost: it had several
+// times its expected work while later attempts were answered. It sends a duplicate if that is allowed, and
+// otherwise cancels the attempt. Unsafe requests are not retried. It also finishes requests near their
+// deadline.
 func (r *Router) retryStuck(g *group) {
 	for _, s := range g.members {
 		for _, a := range slices.Clone(s.inFlight) {
 			q := a.req
 			if !q.finished && r.deadlineNear(q) {
-				r.finish(q, "its time is nearly over")
+				r.finish(q, "deadline is near")
 			}
 			if !a.presumedLost && a.overtakenBy >= lostOvertakenBy &&
 				r.serviceRatio(s, a) > r.lostThreshold(g) {
@@ -898,31 +916,32 @@
 	}
 }
 
-// serviceRatio is the service that an attempt has had, in times its expected work.
+// serviceRatio returns the service that an attempt has received, as a multiple of its expected work.
 func (r *Router) serviceRatio(s *server, a *attempt) float64 {
 	return (s.service - a.serviceAtSend) * r.warmRate(s) / a.req.expectedWork()
 }
 
-// lostThreshold is what an overtaken attempt may have had before it is taken for lost. About exp(-x) of
-// others take more than x times their work: where that is less than the part lost, lost is likelier than
-// slow.
+// lostThreshold returns the service ratio from which an overtaken attempt is presumed lost. About exp(-x) of
+// all attempts take more than x times their expected work. Where that is less than the loss rate, the attempt
+// is more likely lost than slow.
 func (r *Router) lostThreshold(g *group) float64 {
-	if len(g.waiting) > 0 { // copies would be at others' expense
+	if len(g.waiting) > 0 { // duplicates would delay the waiting requests
 		return maxLostRatio
 	}
 	return min(maxLostRatio, max(minLostRatio, -math.Log(r.lossRate)))
 }
 
-// refreshRates corrects rates from the last interval's answers: each kind's, then each server's. Requests
-// out for more than their work count, or a stopped server would keep its rate; not if overtaken.
+// refreshRates corrects the rates of the machine types and the servers from the answers of the last interval.
+// Attempts in flight that have received more than their expected work count as well, as a stopped server
+// would otherwise keep its rate; those that were overtaken do not.
 func (r *Router) refreshRates() {
 	r.nextRefresh = r.now + refreshInterval
 	r.updateRequestRates(0, 0)
-	trust := rateMemory * r.meanWork
-	step := func(want, got float64) float64 {
-		return min(maxRateStep, max(1/maxRateStep, (want+trust)/(got+trust)))
+	oldWeight := rateMemory * r.meanWork
+	step := func(expected, received float64) float64 {
+		return min(maxRateStep, max(1/maxRateStep, (expected+oldWeight)/(received+oldWeight)))
 	}
-	byType := map[int][2]float64{} // want, got
+	byType := map[int][2]float64{} // expected work, work received
 	for _, s := range r.sortedServers {
 		r.advanceService(s)
 		rate := r.warmRate(s)
@@ -946,12 +965,13 @@
 		}
 		s.answeredWork, s.answeredService = 0, 0
 	}
-	for kind, k := range byType { // each on its own: the order does not matter
-		r.machineRates[kind] = min(maxRate, max(1/maxRate, r.machineRates[kind]*step(k[0], k[1])))
+	for machineType, k := range byType { // the order does not matter: the types are independent
+		r.machineRates[machineType] = min(maxRate,
+			max(1/maxRate, r.machineRates[machineType]*step(k[0], k[1])))
 	}
 	r.normalizeRates()
 	r.adjustLimits()
-	// Servers that left, have not answered since for a while, and hold nothing of ours are forgotten.
+	// Removed servers are dropped once they have not answered for a while and have nothing in flight.
 	r.sortedServers = slices.DeleteFunc(r.sortedServers, func(s *server) bool {
 		if s.removedAt == 0 || r.now-max(s.removedAt, s.lastAnswer) < removedRetention ||
 			len(s.inFlight) > 0 {
@@ -962,12 +982,12 @@
 	})
 }
 
-// adjustLimits moves the widths towards where answers begin to come late, but never below where they start:
-// slow spells of a server look like crowding.
+// adjustLimits moves the concurrency limits towards the load from which answers are slower. A limit never
+// falls below its initial value, since periods in which a server is slow look like overload.
 func (r *Router) adjustLimits() {
-	for _, w := range r.concurrencyLimits { // each on its own: the order does not matter
+	for _, limit := range r.concurrencyLimits { // the order does not matter: the limits are independent
 		least, target := 0.0, 0.0
-		for i, m := range w.latencies {
+		for i, m := range limit.latencies {
 			if m.count < minLimitSamples {
 				continue
 			}
@@ -981,6 +1001,6 @@
 			}
 			target = load * limitGrowth
 		}
-		w.limit = max(initialLimit, w.limit/maxLimitStep, min(w.limit*maxLimitStep, target))
+		limit.limit = max(initialLimit, limit.limit/maxLimitStep, min(limit.limit*maxLimitStep, target))
 	}
 }
--- a/state.go
+++ b/state.go
@@ -1,6 +1,6 @@
 package beechgrade
 
-// The records that the router keeps. No decision is made here.
+// This file holds the router's state and its bookkeeping. The decisions are in router.go and health.go.
 
 import (
 	"cmp"
@@ -10,100 +10,114 @@
 	"time"
 )
 
+// never is a time before every event.
 const never = Time(math.MinInt64 / 2)
 
 // Router makes the decisions of one proxy. It is not safe for concurrent use.
 type Router struct {
-	cfg                   Settings
-	rng                   *rand.Rand
-	now                   Time
-	actions               []Action
-	classes               []class
-	tenants               []tenant
-	servers               map[ServerID]*server
-	sortedServers         []*server // by id
-	groups                map[int]*group
-	sortedGroups          []*group // by number
-	requests              map[RequestID]*request
-	sessionCommits        map[string]Time // sessions' last commits where remembered
-	forgottenCommit       Time            // latest commit of those dropped
-	minLatencyTarget      time.Duration
-	inFlight              int     // attempts in flight
-	meanWork              float64 // average work of a request, over so many answers
+	cfg     Settings
+	rng     *rand.Rand
+	now     Time
+	actions []Action
+
+	classes       []class
+	tenants       []tenant
+	servers       map[ServerID]*server
+	sortedServers []*server // by id
+	groups        map[int]*group
+	sortedGroups  []*group // by number
+	requests      map[RequestID]*request
+
+	sessionCommits  map[string]Time // last commit of each session, if TrackCommits is set
+	forgottenCommit Time            // latest commit among the sessions dropped from sessionCommits
+
+	minLatencyTarget      time.Duration // smallest latency target of all classes
+	inFlight              int           // attempts in flight
+	meanWork              float64       // average work of a request, over answerCount answers
 	answerCount           float64
-	lossRate              float64                   // part of the attempts that are never answered
-	primarySearchInterval time.Duration             // between probes of a member while a write waits for a primary
-	machineRates          map[int]float64           // rates by kind
-	concurrencyLimits     map[int]*concurrencyLimit // by kind
-	zoneLatencies         map[int]zoneLatency       // by zone
-	requestRate           float64                   // own requests a second, decaying, over rateSpan up to rateUpdatedAt
-	requestSum            float64
-	primaryWorkRate       float64 // work a second of own requests that only a primary takes
-	primaryWorkSum        float64 // its sum, as requestSum
-	rateSpan              float64
-	rateUpdatedAt         Time
-	loadReported          bool // reports tell how many requests a server holds
-	listReceived          bool
-	timerAt               Time // the timer that is out, never for none
-	nextRefresh           Time
-	nextSubscribe         Time
-	lastSubscribe         Time // last subscribed then
-
-	subscribeFailures int // subscriptions in a row that did not hold
+	lossRate              float64       // fraction of attempts that are never answered
+	primarySearchInterval time.Duration // time between probes of a member while a write waits for a primary
+
+	machineRates      map[int]float64           // warm rate of each machine type
+	concurrencyLimits map[int]*concurrencyLimit // by machine type
+	zoneLatencies     map[int]zoneLatency       // by zone
+
+	// Rates of this router's own requests at rateUpdatedAt: decaying sums, divided by the decaying time rateSpan.
+	requestRate     float64 // requests a second
+	requestSum      float64
+	primaryWorkRate float64 // work a second of the requests that only a primary can take
+	primaryWorkSum  float64
+	rateSpan        float64 // in seconds
+	rateUpdatedAt   Time
+
+	loadReported  bool // some report has held the number of requests in flight
+	listReceived  bool // a server list has arrived
+	timerAt       Time // time of the pending timer, never if there is none
+	nextRefresh   Time
+	nextSubscribe Time
+	lastSubscribe Time
+
+	subscribeFailures int // subscriptions in a row that ended within maxSubscribePause
 }
 
-// health is what the router thinks of a server.
+// health is the router's opinion of a server.
 type health uint8
 
 const (
 	healthy health = iota
-	onTrial        // may take a few requests at a time until it answers
-	down           // takes nothing until a probe succeeds, or without probes a while has passed
+	onTrial        // takes up to trialRequests requests at once until it answers
+	down           // takes nothing until a probe succeeds or, where probes are not allowed, a pause has passed
 )
 
 type server struct {
-	id                            ServerID
-	entry                         Entry
-	group                         *group
-	inFlight                      []*attempt // in order of sending
-	presumedLost                  int        // how many of them are thought lost
-	draining                      bool
-	removedAt                     Time    // when it left the list, 0 while in it
-	softRemoval                   bool    // leaving the list alone does not bind
-	relativeRate                  float64 // its rate against its kind's
-	trafficShare                  float64 // part of the group's requests that this router sends there
-	lastFailureChance             float64 // chance of a failed answer, at failureChanceAt
-	failureChanceAt               Time
-	service                       float64 // virtual service: the integral of one request's share of rate over time
+	id           ServerID
+	entry        Entry
+	group        *group
+	inFlight     []*attempt // in the order of their sends
+	presumedLost int        // number of attempts in inFlight that are presumed lost
+	draining     bool
+	removedAt    Time // when it left the list, 0 while it is in the list
+	softRemoval  bool // it may still be used after it left the list
+
+	relativeRate      float64 // its warm rate as a multiple of its machine type's
+	trafficShare      float64 // part of the group's requests that this router sends to it
+	lastFailureChance float64 // chance of a failed answer, as of failureChanceAt
+	failureChanceAt   Time
+
+	// service is the virtual service, in seconds at the warm rate: the integral over time of the fraction of its warm
+	// rate that each request in flight receives.
+	service                       float64
 	serviceUpdatedAt              Time
-	frozenShare                   float64 // after a pick, what each request's share is taken to be...
-	frozenUntil                   Time    // ...until then
-	answeredWork, answeredService float64 // since the last refresh: average work of answered requests; service they took
-	othersInFlight                float64 // in-flight requests of other routers there, as reported at loadReportedAt
-	position                      Time    // known position: never goes back
-	positionAt                    Time
-	positionReportedAt            Time    // last told of its position, new or not
-	applyRate                     float64 // how fast the position advances against the clock
-	role                          Role
-	roleAt                        Time // time of the evidence
-	health                        health
-	downAt                        Time // when it was last found bad
-	lastAnswer                    Time // last answer of an attempt
-	lastProbe                     Time // last probe sent
-	probing                       bool
-	probeFailures                 int  // probes failed in a row
-	loadReportedAt                Time // last report of its load
-	overloadedUntil               Time
-	coldSince                     Time    // it started about then, never for long ago
-	coldWork                      float64 // work sent while cold, leaking
-	coldWorkAt                    Time
-	refusedSince                  Time // first of an unbroken run of refused or broken connections, 0 if none
+	frozenShare                   float64 // the rate share of each request after the last pick, used by cost until frozenUntil
+	frozenUntil                   Time
+	answeredWork, answeredService float64 // expected work of the answers since the last refresh, and the service they received
+	othersInFlight                float64 // other routers' requests in flight, as of loadReportedAt
+
+	position           Time    // highest position reported; it never goes back
+	positionAt         Time    // when position last advanced
+	positionReportedAt Time    // when a position was last reported, whether it was new or not
+	applyRate          float64 // how far the position advances per unit of time
+	role               Role
+	roleAt             Time // time of the evidence for the role
+
+	health          health
+	downAt          Time    // when it was last found down
+	lastAnswer      Time    // last answer to an attempt
+	lastProbe       Time    // last probe sent
+	probing         bool    // a probe is pending
+	probeFailures   int     // failed probes in a row
+	loadReportedAt  Time    // last report or inference of its load
+	overloadedUntil Time    // it gets no requests until then
+	coldSince       Time    // approximate start, never if that was long ago
+	coldWork        float64 // level of the leaky bucket of work sent while it is cold
+	coldWorkAt      Time    // when coldWork was last updated
+	refusedSince    Time    // first of an unbroken run of refused or broken connections, 0 if none
 }
 
 type group struct {
 	id      int
 	members []*server
-	waiting []*request
+	waiting []*request // requests that no server can take yet
 }
 
 type attempt struct {
@@ -112,12 +126,12 @@
 	number        int
 	sentAt        Time
 	serviceAtSend float64 // the server's virtual service at the send
-	ownInFlight   int     // our requests there, with it
+	ownInFlight   int     // this router's requests in flight at the server, including this one
 	ended         bool
-	retried       bool
-	overtakenBy   int  // later attempts there answered before this one
+	retried       bool // its request was sent again or called off
+	overtakenBy   int  // later attempts at the server that were answered before this one
 	presumedLost  bool // it will probably never be answered
-	untimed       bool // out while this router stood still: its time tells nothing
+	untimed       bool // in flight while this router was paused, so its latency is not a measurement
 }
 
 type request struct {
@@ -126,37 +140,40 @@
 	group            *group
 	arrived          Time
 	deadline         Time
-	targetTime       Time
+	targetTime       Time // the latency target as a point in time
 	session          string
-	minPosition      Time // session reads: the position that a server must have reached
+	minPosition      Time // for session reads: position that a server must have reached
 	value            float64
-	admissionDraw    float64 // from 0 to 1, drawn once: what a cold server rations by
-	relativeWork     float64 // work against the class's average by the hint, 1 without one
-	usefulUntil      Time    // after this an answer is worth nothing
+	admissionDraw    float64 // random number from 0 to 1, by which a cold server admits requests
+	relativeWork     float64 // its work hint over the average hint of its class, 1 without a hint
+	usefulUntil      Time    // an answer has no value after this time
 	attempts         []*attempt
-	inFlight         int
+	inFlight         int  // attempts in flight
 	possiblyRan      bool // an attempt may have run
-	possiblyRanSent  Time // send of the first that may have, and its zone
-	possiblyRanZone  int
-	reachedServer    bool // an attempt got to a server
-	probeCount       int  // servers asked for it
-	awaitProbesUntil Time // it waits for them until then
+	possiblyRanSent  Time // send time of the first attempt that may have run
+	possiblyRanZone  int  // zone of that attempt
+	reachedServer    bool // an attempt has reached a server
+	probeCount       int  // servers probed for it since its last attempt ended
+	awaitProbesUntil Time // it waits for those probes until then
 	finished         bool
 }
 
 type class struct {
 	Class
-	meanWork    float64 // average work, in units of a rate-1 server's seconds
+	meanWork    float64 // average work, in seconds of a server with rate 1
 	answerCount float64
-	meanLatency float64 // average time to an answer, where routers are few
-	meanHint    float64 // average work hint, over so many
+	meanLatency float64 // average time to an answer, measured in tiers of up to fewRouters routers
+	meanHint    float64 // average work hint, over hintCount hints
 	hintCount   float64
 
-	fastestAnswer      Time // an average one's soonest answer in a group, as of fastestAnswerAt
+	// fastestAnswer caches the shortest expected time to an answer of an average request in fastestAnswerGroup, as
+	// of fastestAnswerAt.
+	fastestAnswer      Time
 	fastestAnswerAt    Time
 	fastestAnswerGroup *group
 }
 
+// tenant is the token bucket of a tenant with an allowance.
 type tenant struct {
 	tokens     float64
 	refilledAt Time
@@ -176,7 +193,8 @@
 
 func (s *server) hasInFlight() bool { return len(s.inFlight) > 0 }
 
-// removeServer unfiles a server, and with its last server a group that nothing waits in; the caller takes it out of the order.
+// removeServer removes a server, and its group if that has no other member and no waiting request. The caller removes the
+// server from sortedServers.
 func (r *Router) removeServer(s *server) {
 	g := s.group
 	g.members = slices.DeleteFunc(g.members, func(o *server) bool { return o == s })
@@ -187,14 +205,15 @@
 	}
 }
 
-// maxMeanRate is how far the mean rate may stray from 1, as a factor.
+// maxMeanRate bounds the mean rate of all servers, and 1/maxMeanRate bounds it from below.
 const maxMeanRate = 8.0
 
-// normalizeRates keeps the scale that rates and works share: no answer holds it, and chance drives it up. A kind's rate is the
-// mean of its heard servers', so that an unheard one takes that. No estimate changes against another.
+// normalizeRates bounds the common scale of rates and work. Answers only determine work in proportion to rates, so chance
+// drives the scale up. The rate of a machine type becomes the geometric mean of its servers that have answered, and a server
+// without answers takes that mean. The ratios between the estimates do not change.
 func (r *Router) normalizeRates() {
 	logSum, count := 0.0, 0.0
-	logByType := map[int][2]float64{} // of the rates against their kind's: the logarithms' sum, how many
+	logByType := map[int][2]float64{} // sum and number of the logarithms of relativeRate
 	for _, s := range r.sortedServers {
 		if k := logByType[s.entry.MachineType]; s.lastAnswer != never {
 			logByType[s.entry.MachineType] = [2]float64{k[0] + math.Log(s.relativeRate), k[1] + 1}
@@ -211,11 +230,11 @@
 		}
 		s.coldWork /= scale
 	}
-	for kind, k := range logByType { // each on its own: the order does not matter
-		r.machineRates[kind] *= math.Exp(k[0] / k[1])
+	for machineType, k := range logByType { // the order does not matter: the types are independent
+		r.machineRates[machineType] *= math.Exp(k[0] / k[1])
 	}
-	for kind := range r.machineRates {
-		r.machineRates[kind] /= scale
+	for machineType := range r.machineRates {
+		r.machineRates[machineType] /= scale
 	}
 	for i := range r.classes {
 		r.classes[i].meanWork /= scale
@@ -223,34 +242,37 @@
 	r.meanWork, r.primaryWorkRate, r.primaryWorkSum = r.meanWork/scale, r.primaryWorkRate/scale, r.primaryWorkSum/scale
 }
 
-// concurrencyLimit is how many requests a kind of server serves at full rate each, learned from how long answers take by how many
-// of this router's own requests a server held when theirs was sent.
+// concurrencyLimit is the number of requests that a server of one machine type processes at the full rate each. It is learned
+// from the latency of answers, by the number of this router's requests in flight at the server when they were sent.
 type concurrencyLimit struct {
 	limit     float64
-	latencies [limitSteps]average // against the class's mean; step i holds from 2^(i/2) of them on
+	latencies [limitSteps]average // as multiples of the class's mean latency; step i begins at 2^(i/2) in flight
 }
 
 type average struct{ value, count float64 }
 
+// limitSteps is the number of load steps in which latencies are recorded.
 const limitSteps = 14
 
-func (r *Router) limitOfType(kind int) *concurrencyLimit {
-	w := r.concurrencyLimits[kind]
-	if w == nil {
-		w = &concurrencyLimit{limit: initialLimit}
-		r.concurrencyLimits[kind] = w
+func (r *Router) limitOfType(machineType int) *concurrencyLimit {
+	limit := r.concurrencyLimits[machineType]
+	if limit == nil {
+		limit = &concurrencyLimit{limit: initialLimit}
+		r.concurrencyLimits[machineType] = limit
 	}
-	return w
+	return limit
 }
 
 func (r *Router) concurrencyLimit(s *server) float64 { return r.limitOfType(s.entry.MachineType).limit }
 
-// loadPerOwnRequest is what one request of our own stands for where others' are not told: part of theirs.
+// loadPerOwnRequest is the load that one request of this router indicates where other routers' load is not reported: itself
+// and, for each other router, a part of a request.
 func (r *Router) loadPerOwnRequest() float64 { return 1 + maxOthersRatio*float64(r.cfg.RouterCount-1) }
 
-// recordLatency counts an answer's time against its class's mean, and not against what work and rate make of it, as both are
-// learned by the width; nor does the guess of others' load enter, which grows with the width. One of many routers sees
-// too little of what a server holds, and a cold or slow server is late for another reason.
+// recordLatency records the latency of an answer, as a multiple of its class's mean latency. The latency expected from work
+// and rate is no reference, as both are learned by means of the concurrency limit. The estimate of other routers' load is not
+// used either, as it grows with the limit. Nothing is recorded where there are many routers, as each one then sees too little
+// of a server's load, or for a cold or slow server, which answers late for other reasons.
 func (r *Router) recordLatency(s *server, a *attempt, took Time) {
 	if fewRouters < r.cfg.RouterCount || r.capacityFraction(s) < 1 || s.relativeRate < limitGrowth/2 {
 		return
@@ -262,14 +284,15 @@
 	step.value += (took.Seconds()/max(1e-6, c.meanLatency*a.req.relativeWork) - step.value) / step.count
 }
 
-// rateShare is the part of the rate for one alone that each of n requests gets: about width/n beyond the width.
+// rateShare returns the fraction of a server's rate that each of n requests gets. A request alone gets all of it, and beyond
+// the concurrency limit each one gets about limit/n.
 func (r *Router) rateShare(s *server, n float64) float64 {
-	w := r.concurrencyLimit(s)
-	x := n * n / (w * w)
+	limit := r.concurrencyLimit(s)
+	x := n * n / (limit * limit)
 	return 1 / math.Sqrt(math.Sqrt(1+x*x))
 }
 
-// groupFor finds a group or files it.
+// groupFor returns a group and adds it if it is new.
 func (r *Router) groupFor(id int) *group {
 	g := r.groups[id]
 	if g == nil {
@@ -281,7 +304,7 @@
 	return g
 }
 
-// addAttempt files an attempt that goes out.
+// addAttempt records an attempt that is sent.
 func (r *Router) addAttempt(s *server, a *attempt) {
 	s.inFlight = append(s.inFlight, a)
 	a.req.attempts = append(a.req.attempts, a)
@@ -289,12 +312,12 @@
 	r.inFlight++
 }
 
-// triedOn tells whether a request was sent to a server before.
+// triedOn reports whether a request was sent to a server before.
 func (q *request) triedOn(s *server) bool {
 	return slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.server == s })
 }
 
-// presumeAllLost marks all that is out at a server as lost.
+// presumeAllLost marks all attempts in flight at a server as presumed lost.
 func (s *server) presumeAllLost() {
 	s.presumedLost = len(s.inFlight)
 	for _, a := range s.inFlight {
@@ -302,7 +325,8 @@
 	}
 }
 
-// markAllUntimed marks all that is out as of no measured time, and all servers as just heard.
+// markAllUntimed marks all attempts in flight as untimed. It also moves every server's last answer to now, so that this
+// router's own pause does not make the servers look silent.
 func (r *Router) markAllUntimed() {
 	for _, s := range r.sortedServers {
 		s.lastAnswer = r.now
@@ -312,7 +336,8 @@
 	}
 }
 
-// removeAttempt unfiles an attempt that ended, and tells how many older ones are still out; nil if it is not known.
+// removeAttempt removes an ended attempt and returns it with the number of older attempts still in flight at the server. It
+// returns nil for an unknown attempt.
 func (r *Router) removeAttempt(s *server, id RequestID, number int) (*attempt, int) {
 	i := slices.IndexFunc(s.inFlight, func(a *attempt) bool { return a.req.id == id && a.number == number })
 	if i < 0 {
@@ -329,7 +354,8 @@
 	return a, i
 }
 
-// updateRequestRates counts n more requests, and the work of those that only a primary takes, over a fading memory.
+// updateRequestRates adds n requests, and the work of those that only a primary can take, to the decaying sums and updates the
+// rates.
 func (r *Router) updateRequestRates(n, primaryWork float64) {
 	elapsed := (r.now - r.rateUpdatedAt).Seconds()
 	keep := math.Exp(-elapsed / requestRateMemory.Seconds())
@@ -338,8 +364,8 @@
 	r.requestRate, r.primaryWorkRate = r.requestSum/max(r.rateSpan, 1), r.primaryWorkSum/max(r.rateSpan, 1)
 }
 
-// rememberCommit keeps a session's last commit, as late as its answer where that does not tell. One dropped counts as late as
-// any that was.
+// rememberCommit records the position of a session's last commit, or the time of the answer if that holds no position. When
+// the table is full it is emptied; from then on a dropped session counts as having committed as late as any dropped one.
 func (r *Router) rememberCommit(session string, report Report) {
 	position := r.now
 	if report.HasPosition {
@@ -354,7 +380,7 @@
 	r.sessionCommits[session] = max(position, r.sessionCommits[session])
 }
 
-// applyReport takes a role and a position; at is the time of the role's evidence.
+// applyReport records the role, position and load in a report; at is the time of the evidence for the role.
 func (r *Router) applyReport(s *server, report Report, at Time) {
 	if report.HasPosition {
 		s.positionReportedAt = r.now
@@ -375,7 +401,8 @@
 	}
 }
 
-// inferLoad takes an answer as evidence of so many requests met, unless our own explain them.
+// inferLoad takes an answer as evidence of that many requests in flight at a server, and reports whether it did. It does not
+// if the known load or this router's own requests explain the answer.
 func (r *Router) inferLoad(s *server, inFlight float64) bool {
 	n, _ := r.load(s)
 	if fewRouters*(len(s.inFlight)+1) >= r.cfg.RouterCount || inFlight <= n {
@@ -385,9 +412,9 @@
 	return true
 }
 
-// zoneLatency is what the way to a zone took, as seen last.
+// zoneLatency holds what was last measured of the path to a zone.
 type zoneLatency struct {
-	latency          float64
+	latency          float64 // in seconds
 	measuredAt       Time
 	lastAnsweredSend Time // latest send into the zone that was answered
 }
