--- a/router.go
+++ b/router.go
@@ -20,8 +20,8 @@
 	// pauseThreshold is the delay from which a late timer means that this process was paused. A connection or
 	// probe that fails after at least this time may have failed on the path to the server.
 	pauseThreshold = 100 * time.Millisecond
-	// shareFreeze is how long the cost uses the rate share that a server had just after a pick. It is the
-	// start value given in DESIGN.
+	// shareFreeze is how long the cost uses the rate for each request that was computed at a server's last
+	// pick. It is the start value given in DESIGN.
 	shareFreeze = time.Second
 
 	// initialWork is the work of a class without answers, as a fraction of its latency target.
@@ -42,7 +42,7 @@
 
 	// rateMemory is the weight of the old rate at each refresh, in answers of average work.
 	rateMemory = 4.0
-	// maxRate bounds the rates, and 1/maxRate bounds them from below.
+	// maxRate bounds rates and relative rates from above, and 1/maxRate bounds them from below.
 	maxRate = 1e3
 	// maxRateStep is the largest factor by which a rate changes in one refresh.
 	maxRateStep = 2.0
@@ -69,7 +69,7 @@
 	minTenantBurst = 4.0
 	// requestRateMemory is the time constant of this router's measured request rate.
 	requestRateMemory = 5 * time.Second
-	// trafficShareMemory is the memory of where a group's requests went, in requests for each member.
+	// trafficShareMemory is the memory of where a group's requests went, in rounds over its members.
 	trafficShareMemory = 4.0
 	// maxProbesPerRequest is how many servers are probed for one request. The two cheapest ones give most of
 	// the information.
@@ -151,7 +151,8 @@
 	// meanLatencyMemory is the memory of a class's mean latency, in answers.
 	meanLatencyMemory = 1e4
 
-	// deadlineMarginTicks is how many ticks before its deadline a request gets its final answer.
+	// deadlineMarginTicks is how many ticks before its deadline a request gets its final answer, in addition
+	// to the time until the next housekeeping run.
 	deadlineMarginTicks = 2
 )
 
@@ -254,8 +255,8 @@
 // load returns the number of requests in flight at a server: this router's, without those presumed lost, and
 // the other routers'. The last report of the others' changes gradually into an estimate, since many routers
 // that each see an idle server would overload it together. The likely load, with the full estimate, may only
-// influence the choice of a server. Requests are held back by the evident load, in which each other router
-// counts for at most a fixed part of this router's own requests there.
+// influence the choice of a server. Requests are held back by the evident load, in which the estimate for
+// each other router is at most a fixed part of this router's own requests there.
 func (r *Router) load(s *server) (likely, evident float64) {
 	own := float64(len(s.inFlight) - s.presumedLost)
 	fresh := r.freshness(s.loadReportedAt, 2*refreshInterval)
@@ -307,7 +308,8 @@
 	// win the picks.
 	cost /= 1 - r.failureChance(s)
 	if s.entry.Zone != r.cfg.Zone {
-		cost += r.cfg.CrossZoneCost * q.class.LatencyTarget.Seconds() // the value counts as a target's length
+		// The cost is a time, so the request's value is expressed as its latency target.
+		cost += r.cfg.CrossZoneCost * q.class.LatencyTarget.Seconds()
 	}
 	cost += r.zoneLatency(s)
 	return cost, shareAfter
@@ -885,10 +887,10 @@
 	}
 }
 
-// retryStuck retries requests whose attempt is at a server that is down or is presumed lost: it had several
-// times its expected work while later attempts were answered. It sends a duplicate if that is allowed, and
-// otherwise cancels the attempt. Unsafe requests are not retried. It also finishes requests near their
-// deadline.
+// retryStuck retries requests whose attempt is at a server that is down, or is presumed lost. An attempt is
+// presumed lost if it received several times its expected work while later attempts were answered. If
+// duplicates are allowed, retryStuck sends one, and otherwise it cancels the attempt. Unsafe requests are not
+// retried. It also finishes requests near their deadline.
 func (r *Router) retryStuck(g *group) {
 	for _, s := range g.members {
 		for _, a := range slices.Clone(s.inFlight) {
--- a/state.go
+++ b/state.go
@@ -88,7 +88,7 @@
 	// rate that each request in flight receives.
 	service                       float64
 	serviceUpdatedAt              Time
-	frozenShare                   float64 // the rate share of each request after the last pick, used by cost until frozenUntil
+	frozenShare                   float64 // rate for each request computed at the last pick, used by cost until frozenUntil
 	frozenUntil                   Time
 	answeredWork, answeredService float64 // expected work of the answers since the last refresh, and the service they received
 	othersInFlight                float64 // other routers' requests in flight, as of loadReportedAt
@@ -128,7 +128,7 @@
 	serviceAtSend float64 // the server's virtual service at the send
 	ownInFlight   int     // this router's requests in flight at the server, including this one
 	ended         bool
-	retried       bool // its request was sent again or called off
+	retried       bool // a duplicate was sent or the attempt was cancelled, as the server or the attempt was lost
 	overtakenBy   int  // later attempts at the server that were answered before this one
 	presumedLost  bool // it will probably never be answered
 	untimed       bool // in flight while this router was paused, so its latency is not a measurement
