--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,5 +1,5 @@
-// Package core is the loop's state between the router and the sockets: it tells the router what happens
-// and carries out its actions in their order. It decides nothing.
+// Package core connects the router to the sockets: it delivers events to the router and executes the router's actions
+// in order. It makes no routing decisions.
 package core
 
 import (
@@ -18,219 +18,224 @@
 	"beechgrade/internal/slots"
 )
 
-// Errors of a request that cannot be put to the router.
+// Errors of Submit. None of these requests reaches the router.
 var (
-	ErrClass = errors.New("no such class")
-	ErrOpen  = errors.New("a request of this id is open")
-	ErrWrite = errors.New("a write in a class of reads")
-	ErrEnded = errors.New("the service has ended")
+	ErrUnknownClass     = errors.New("no such class")
+	ErrDuplicateID      = errors.New("a request of this id is open")
+	ErrWriteInReadClass = errors.New("a write in a class of reads")
+	ErrShutDown         = errors.New("the service has ended")
 )
 
-// Servers carries out attempts and probes.
+// Servers sends attempts and probes to the db servers.
 type Servers interface {
-	SetAddress(id, addr string)
-	Drain(id string)
-	Remove(id string)
-	RemoveExcept(ids map[string]bool)
-	StartAttempt(id string, q backend.Query, until, by float64, once bool, t backend.AttemptID) slots.Ref
+	SetAddress(server, addr string)
+	Drain(server string)
+	Remove(server string)
+	RemoveExcept(servers map[string]bool)
+	StartAttempt(server string, query backend.Query, deadline, sendDeadline float64, nonIdempotent bool,
+		id backend.AttemptID) slots.Ref
 	CancelAttempt(attempt slots.Ref)
 	CancelUnsentAttempt(attempt slots.Ref)
-	Probe(id string)
+	Probe(server string)
 }
 
-// Directory asks for the list of servers.
-type Directory interface {
+// Discovery requests the server list: Watch opens a watch on its changes, Fetch requests the whole list once.
+type Discovery interface {
 	Watch()
 	Fetch()
 }
 
-// Core feeds the router. It is for the loop alone.
+// Core runs one router. Its methods must only be called on the loop's goroutine.
 type Core struct {
-	loop    *loop.Loop
-	log     *slog.Logger
-	cfg     *config.Config
-	router  *beechgrade.Router
-	servers Servers
-	dir     Directory
-
-	classes map[string]int
-	zones   names
-	kinds   names
-
-	requests slots.Table[*request]
-	ids      map[string]bool // of requests
-	events   []event
-	end      float64 // by then requests that come have their answer, 0 for whenever it is due
-	running  bool
-	actions  []beechgrade.Action
-	traces   tracer
-	guard    *invariant.Guard
+	loop      *loop.Loop
+	log       *slog.Logger
+	cfg       *config.Config
+	router    *beechgrade.Router
+	servers   Servers
+	discovery Discovery
+
+	// The router identifies classes, zones and machine types by number.
+	classNumbers       map[string]int
+	zoneNumbers        numbering
+	machineTypeNumbers numbering
+
+	requests       slots.Table[*request]
+	openIDs        map[string]bool     // client IDs of the requests in the table
+	queue          []queuedEvent       // events for the router, cleared once all are handled
+	latestDeadline float64             // limit for the deadlines of new requests, in milliseconds on the loop's clock, 0 for none
+	handling       bool                // deliverAt is working through the queue
+	actions        []beechgrade.Action // actions of the current event; the slice is reused
+	logLimit       logLimit
+	guard          *invariant.Guard
 }
 
-// event is one that the router is yet to be told, with the time at which it happened.
-type event struct {
-	at beechgrade.Time
-	e  beechgrade.Event
+// queuedEvent is an event for the router, with the time at which it happened.
+type queuedEvent struct {
+	at    beechgrade.Time
+	event beechgrade.Event
 }
 
-// New makes the core of one pooler.
+// New returns the core of one pooler.
 func New(l *loop.Loop, log *slog.Logger, cfg *config.Config) *Core {
 	c := &Core{loop: l, log: log, cfg: cfg, router: beechgrade.New(cfg.Settings, cfg.Seed),
-		guard: invariant.New(log, l.Metrics()), classes: map[string]int{}, ids: map[string]bool{},
-		zones: newNames(cfg.Zones), kinds: newNames(cfg.MachineTypes)}
-	for i, n := range cfg.Classes {
-		c.classes[n] = i
+		guard: invariant.New(log, l.Metrics()), classNumbers: map[string]int{}, openIDs: map[string]bool{},
+		zoneNumbers: newNumbering(cfg.Zones), machineTypeNumbers: newNumbering(cfg.MachineTypes)}
+	for i, name := range cfg.Classes {
+		c.classNumbers[name] = i
 	}
 	return c
 }
 
-// Start joins the core to the servers and the directory and tells the router the list as last known. A list that is
-// pushed needs an open watch as much as one that is asked for, only that the router does not ask for it at the start.
-func (c *Core) Start(s Servers, d Directory) {
-	c.servers, c.dir = s, d
-	c.list(&c.cfg.LastKnownList, beechgrade.ListRestored)
+// Start connects the core to the servers and to discovery and delivers the last known server list to the router. If the
+// settings leave it to the router to subscribe to the list, it does so with an action; otherwise Start opens the watch.
+func (c *Core) Start(s Servers, d Discovery) {
+	c.servers, c.discovery = s, d
+	c.applyList(&c.cfg.LastKnownList, beechgrade.ListRestored)
 	if !c.cfg.Settings.SubscribeList {
-		c.dir.Watch()
+		c.discovery.Watch()
 	}
 }
 
 // OpenRequests returns the number of requests that have no final answer yet or have attempts in flight.
 func (c *Core) OpenRequests() int { return c.requests.Len() }
 
-// Guard checks what this pooler does.
+// Guard returns the guard that checks the invariants of this pooler.
 func (c *Core) Guard() *invariant.Guard { return c.guard }
 
-// SetLatestDeadline limits the deadline of each request that arrives from now on to ms on the loop's clock.
-func (c *Core) SetLatestDeadline(ms float64) { c.end = ms }
+// SetLatestDeadline limits the deadlines of requests that arrive from now on to ms, in milliseconds on the loop's clock.
+func (c *Core) SetLatestDeadline(ms float64) { c.latestDeadline = ms }
 
 // Submit implements front.RequestHandler.
-func (c *Core) Submit(q front.Request, client front.Client) (slots.Ref, error) {
-	class, ok := c.classes[q.Class]
+func (c *Core) Submit(req front.Request, client front.Client) (slots.Ref, error) {
+	class, ok := c.classNumbers[req.Class]
 	if !ok {
-		return slots.Ref{}, fmt.Errorf("class %q: %w", q.Class, ErrClass)
+		return slots.Ref{}, fmt.Errorf("class %q: %w", req.Class, ErrUnknownClass)
 	}
-	if q.IsWrite && c.cfg.Settings.Classes[class].Read != beechgrade.Write { // a read may be repeated
-		return slots.Ref{}, fmt.Errorf("class %q: %w", q.Class, ErrWrite)
+	if req.IsWrite && c.cfg.Settings.Classes[class].Read != beechgrade.Write { // reads may be sent more than once
+		return slots.Ref{}, fmt.Errorf("class %q: %w", req.Class, ErrWriteInReadClass)
 	}
-	if c.ids[q.ID] {
-		return slots.Ref{}, fmt.Errorf("id %q: %w", q.ID, ErrOpen)
+	if c.openIDs[req.ID] {
+		return slots.Ref{}, fmt.Errorf("id %q: %w", req.ID, ErrDuplicateID)
 	}
-	if !c.guard.CheckAccept(q.ID) {
-		return slots.Ref{}, ErrEnded
+	if !c.guard.CheckAccept(req.ID) {
+		return slots.Ref{}, ErrShutDown
 	}
-	c.ids[q.ID] = true
-	if c.end > 0 {
-		q.Deadline = min(q.Deadline, c.end)
+	c.openIDs[req.ID] = true
+	if c.latestDeadline > 0 {
+		req.Deadline = min(req.Deadline, c.latestDeadline)
 	}
 	now := clock.Duration(c.loop.Now())
-	ref := c.requests.Put(&request{id: q.ID, once: c.cfg.Settings.Classes[class].Effect != beechgrade.Safe, client: client,
-		query: q.Query, due: q.Deadline, class: class, group: q.Group, arrived: clock.Milliseconds(now), repeat: q.Retry})
-	e := &beechgrade.Request{ID: requestID(ref), Class: class, Group: q.Group, Deadline: clock.Duration(q.Deadline),
-		Session: q.Session, Retry: q.Retry}
-	if q.MinPosition > 0 {
-		// A commit is rounded up and so may lie ahead of the clock; 0 would stand for none.
-		e.SinceCommit = max(1, now-clock.Duration(q.MinPosition))
-	}
-	c.tellAt(now, e)
+	ref := c.requests.Put(&request{id: req.ID, nonIdempotent: c.cfg.Settings.Classes[class].Effect != beechgrade.Safe,
+		client: client, query: req.Query, deadline: req.Deadline, class: class, group: req.Group,
+		arrivedAt: clock.Milliseconds(now), retry: req.Retry})
+	event := &beechgrade.Request{ID: requestID(ref), Class: class, Group: req.Group, Deadline: clock.Duration(req.Deadline),
+		Session: req.Session, Retry: req.Retry}
+	if req.MinPosition > 0 {
+		// The position of a commit is rounded up, so it may be ahead of the clock. The minimum is 1 because 0 means no commit.
+		event.SinceCommit = max(1, now-clock.Duration(req.MinPosition))
+	}
+	c.deliverAt(now, event)
 	return ref, nil
 }
 
 // Abandon implements front.RequestHandler.
-func (c *Core) Abandon(ref slots.Ref, why string) {
-	q, ok := c.requests.Get(ref)
-	if !ok || q.over {
+func (c *Core) Abandon(ref slots.Ref, reason string) {
+	req, ok := c.requests.Get(ref)
+	if !ok || req.ended {
 		return
 	}
-	q.over, q.why = true, why
-	c.trace(q, "gone")
-	c.release(ref, q)
-	c.tell(&beechgrade.Abandoned{ID: requestID(ref)})
+	req.ended, req.reason = true, reason
+	c.recordEnd(req, "gone")
+	c.release(ref, req)
+	c.deliver(&beechgrade.Abandoned{ID: requestID(ref)})
 }
 
-// AttemptEnded is backend.Events'.
-func (c *Core) AttemptEnded(t backend.AttemptID, o backend.Outcome) {
-	q, ok := c.requests.Get(t.Request)
+// AttemptEnded implements backend.Events.
+func (c *Core) AttemptEnded(id backend.AttemptID, outcome backend.Outcome) {
+	req, ok := c.requests.Get(id.Request)
 	if !ok {
 		return
 	}
-	q.open--
-	y := &q.tries[t.Number]
-	y.ended, y.waited, y.result = c.loop.Now(), o.WaitedMs, o.Result
-	c.loop.Metrics().Add(metrics.Attempts, o.Result.String())
-	if y.sent > 0 && mayHaveRun(o.Result) && (q.ranAt == 0 || y.sent < q.ranAt) {
-		q.ranAt = y.sent
-	}
-	if o.Result == beechgrade.OK && !q.over && c.guard.CheckAnswer(q.id, q.answered) {
-		q.over, q.answered = true, true
-		q.client.Served(o.Answer)
-		c.trace(q, "served")
-	}
-	final := q.over
-	c.release(t.Request, q)
-	c.tell(&beechgrade.Outcome{ID: requestID(t.Request), Attempt: t.Number, Server: y.server, Result: o.Result,
-		Final: final, Report: told(o)})
+	req.openAttempts--
+	attempt := &req.attempts[id.Number]
+	attempt.endedAt, attempt.waitedMs, attempt.result = c.loop.Now(), outcome.WaitedMs, outcome.Result
+	c.loop.Metrics().Add(metrics.Attempts, outcome.Result.String())
+	if attempt.sentAt > 0 && mayHaveRun(outcome.Result) && (req.firstRunAt == 0 || attempt.sentAt < req.firstRunAt) {
+		req.firstRunAt = attempt.sentAt
+	}
+	if outcome.Result == beechgrade.OK && !req.ended && c.guard.CheckAnswer(req.id, req.answered) {
+		req.ended, req.answered = true, true
+		req.client.Served(outcome.Answer)
+		c.recordEnd(req, "served")
+	}
+	ended := req.ended
+	c.release(id.Request, req)
+	c.deliver(&beechgrade.Outcome{ID: requestID(id.Request), Attempt: id.Number, Server: attempt.server, Result: outcome.Result,
+		Final: ended, Report: reportOf(outcome)})
 }
 
-// ProbeEnded is backend.Events'.
-func (c *Core) ProbeEnded(server string, o backend.Outcome) {
-	c.tell(&beechgrade.ProbeResult{Server: beechgrade.ServerID(server), Result: o.Result, Report: told(o)})
+// ProbeEnded implements backend.Events.
+func (c *Core) ProbeEnded(server string, outcome backend.Outcome) {
+	c.deliver(&beechgrade.ProbeResult{Server: beechgrade.ServerID(server), Result: outcome.Result, Report: reportOf(outcome)})
 }
 
-// tell tells the router of what happens now.
-func (c *Core) tell(e beechgrade.Event) { c.tellAt(clock.Duration(c.loop.Now()), e) }
+// deliver delivers an event that happens now.
+func (c *Core) deliver(e beechgrade.Event) { c.deliverAt(clock.Duration(c.loop.Now()), e) }
 
-// tellAt queues an event and, unless an action of an earlier one is being carried out, works the queue
-// off: what an action leads to at once is told after that event's actions.
-func (c *Core) tellAt(at beechgrade.Time, e beechgrade.Event) {
-	c.events = append(c.events, event{at, e})
-	if c.running {
+// deliverAt queues an event and passes all queued events to the router. While an action of an earlier event is being
+// executed, it only queues: events that an action causes directly are handled after all actions of the current event.
+func (c *Core) deliverAt(at beechgrade.Time, e beechgrade.Event) {
+	c.queue = append(c.queue, queuedEvent{at, e})
+	if c.handling {
 		return
 	}
-	c.running = true
-	for i := 0; i < len(c.events); i++ {
-		c.actions = c.router.Handle(c.events[i].at, c.events[i].e, c.actions[:0])
+	c.handling = true
+	for i := 0; i < len(c.queue); i++ {
+		c.actions = c.router.Handle(c.queue[i].at, c.queue[i].event, c.actions[:0])
 		for k := range c.actions {
-			c.carryOut(&c.actions[k])
+			c.execute(&c.actions[k])
 		}
 	}
-	clear(c.events)
-	c.events = c.events[:0]
-	c.running = false
+	clear(c.queue)
+	c.queue = c.queue[:0]
+	c.handling = false
 }
 
-func (c *Core) carryOut(a *beechgrade.Action) {
+// execute executes one action of the router.
+func (c *Core) execute(a *beechgrade.Action) {
 	switch a.Kind {
 	case beechgrade.Send:
-		c.send(a)
+		c.startAttempt(a)
 	case beechgrade.Cancel:
-		if q, ok := c.requests.Get(refOf(a.ID)); ok && a.Attempt >= 0 && a.Attempt < len(q.tries) {
-			c.servers.CancelAttempt(q.tries[a.Attempt].ref)
+		if req, ok := c.requests.Get(requestRef(a.ID)); ok && a.Attempt >= 0 && a.Attempt < len(req.attempts) {
+			c.servers.CancelAttempt(req.attempts[a.Attempt].ref)
 		}
 	case beechgrade.Refuse:
-		if q := c.conclude(a); q != nil {
-			c.trace(q, "refused")
-			q.client.Refused(clock.Milliseconds(a.Wait))
+		if req := c.finish(a); req != nil {
+			c.recordEnd(req, "refused")
+			req.client.Refused(clock.Milliseconds(a.Wait))
 		}
 	case beechgrade.Fail:
-		if q := c.conclude(a); q != nil {
-			c.trace(q, "failed")
-			q.client.Failed()
+		if req := c.finish(a); req != nil {
+			c.recordEnd(req, "failed")
+			req.client.Failed()
 		}
 	case beechgrade.Probe:
 		c.servers.Probe(string(a.Server))
 	case beechgrade.SetTimer:
 		tag := a.Tag
-		c.loop.At(clock.Milliseconds(a.At), func() { c.tell(&beechgrade.Timer{Tag: tag}) })
+		c.loop.At(clock.Milliseconds(a.At), func() { c.deliver(&beechgrade.Timer{Tag: tag}) })
 	case beechgrade.Subscribe:
-		c.dir.Watch()
+		c.discovery.Watch()
 	case beechgrade.FetchList:
-		c.dir.Fetch()
+		c.discovery.Fetch()
 	case beechgrade.Log:
 		c.log.Info(a.Text)
 	}
 }
 
-func told(o backend.Outcome) beechgrade.Report {
+// reportOf returns the report in an outcome, in the router's types.
+func reportOf(o backend.Outcome) beechgrade.Report {
 	r := beechgrade.Report{Role: o.Role, HasPosition: o.HasPosition}
 	if o.HasPosition {
 		r.Position = clock.Duration(o.Position)
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -12,68 +12,73 @@
 	if l.Complete {
 		kind = beechgrade.ListFull
 	}
-	c.list(l, kind)
+	c.applyList(l, kind)
 }
 
-// ListFailed is discovery.Events'.
-func (c *Core) ListFailed() { c.tell(&beechgrade.List{Kind: beechgrade.ListFailed}) }
+// ListFailed implements discovery.Events.
+func (c *Core) ListFailed() { c.deliver(&beechgrade.List{Kind: beechgrade.ListFailed}) }
 
-func (c *Core) list(l *discovery.List, kind beechgrade.ListKind) {
-	e, now := &beechgrade.List{Kind: kind}, c.loop.Now()
-	named := map[string]bool{}
+// applyList delivers a server list to the router and updates the servers' addresses and states.
+func (c *Core) applyList(l *discovery.List, kind beechgrade.ListKind) {
+	event, now := &beechgrade.List{Kind: kind}, c.loop.Now()
+	listed := map[string]bool{}
 	for i := range l.Instances {
-		n := &l.Instances[i]
-		if n.ID == "" {
+		instance := &l.Instances[i]
+		if instance.ID == "" {
 			continue
 		}
-		entry := beechgrade.Entry{Server: beechgrade.ServerID(n.ID), Group: n.Group,
-			MachineType: c.kinds.number(n.MachineType), Zone: c.zones.number(n.Zone), Weight: n.Weight, Primary: n.Role == "primary"}
-		if n.StartedAtMs > 0 {
-			entry.StartedAt = clock.Duration(min(clock.FromUnix(n.StartedAtMs), now)) // one that lies ahead would be cold for ever
+		entry := beechgrade.Entry{Server: beechgrade.ServerID(instance.ID), Group: instance.Group,
+			MachineType: c.machineTypeNumbers.number(instance.MachineType), Zone: c.zoneNumbers.number(instance.Zone),
+			Weight: instance.Weight, Primary: instance.Role == "primary"}
+		if instance.StartedAtMs > 0 {
+			// A start time in the future, from a wrong clock, would keep the server cold indefinitely.
+			entry.StartedAt = clock.Duration(min(clock.FromUnix(instance.StartedAtMs), now))
 		}
-		switch n.Lifecycle {
+		switch instance.Lifecycle {
 		case "draining":
 			entry.State = beechgrade.Draining
 		case "removed":
 			entry.State = beechgrade.Removed
 		}
-		named[n.ID] = true
-		if n.HostPort != "" {
-			c.servers.SetAddress(n.ID, n.HostPort)
+		listed[instance.ID] = true
+		if instance.HostPort != "" {
+			c.servers.SetAddress(instance.ID, instance.HostPort)
 		}
-		e.Entries = append(e.Entries, entry)
+		event.Entries = append(event.Entries, entry)
 	}
-	c.log.Debug("list", "kind", kind, "generation", l.Generation, "entries", len(e.Entries))
-	c.tell(e)
-	for i := range e.Entries { // what has been sent there stays until it has ended
-		switch id := string(e.Entries[i].Server); {
-		case e.Entries[i].State == beechgrade.Removed && !c.cfg.Settings.SoftRemoval:
+	c.log.Debug("list", "kind", kind, "generation", l.Generation, "entries", len(event.Entries))
+	c.deliver(event)
+	for i := range event.Entries { // attempts in flight at a drained or removed server continue
+		switch id := string(event.Entries[i].Server); {
+		case event.Entries[i].State == beechgrade.Removed && !c.cfg.Settings.SoftRemoval:
 			c.servers.Remove(id)
-		case e.Entries[i].State != beechgrade.Serving:
+		case event.Entries[i].State != beechgrade.Serving:
 			c.servers.Drain(id)
 		}
 	}
-	if kind != beechgrade.ListChanges && !c.cfg.Settings.SoftRemoval { // where only draining binds, one that vanished may serve
-		c.servers.RemoveExcept(named)
+	// With SoftRemoval, a server that is missing from the list may still serve.
+	if kind != beechgrade.ListChanges && !c.cfg.Settings.SoftRemoval {
+		c.servers.RemoveExcept(listed)
 	}
 }
 
-// names numbers names; ones that the settings do not have get numbers behind theirs.
-type names map[string]int
+// numbering assigns numbers to names. Names that are not in the settings are numbered after those that are.
+type numbering map[string]int
 
-func newNames(list []string) names {
-	n := names{}
-	for _, s := range list {
-		n.number(s)
+func newNumbering(names []string) numbering {
+	n := numbering{}
+	for _, name := range names {
+		n.number(name)
 	}
 	return n
 }
 
-func (n names) number(s string) int {
-	i, ok := n[s]
+// number returns the number of a name, and assigns the next one to a new name.
+func (n numbering) number(name string) int {
+	i, ok := n[name]
 	if !ok {
 		i = len(n)
-		n[s] = i
+		n[name] = i
 	}
 	return i
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -12,74 +12,75 @@
 	"beechgrade/internal/slots"
 )
 
-// request is one that a client asked; it stays until it is over and its attempts have ended.
+// request is a client's request. It stays in the table until it and all its attempts have ended.
+// Times are in milliseconds on the loop's clock.
 type request struct {
-	id     string
-	once   bool // it must not run twice
-	client front.Client
-	query  backend.Query
-	due    float64
-	tries  []try // by number
-	open   int
-	over   bool
+	id            string
+	nonIdempotent bool // its class is not Safe: it must not take effect twice
+	client        front.Client
+	query         backend.Query
+	deadline      float64
+	attempts      []attempt // indexed by attempt number
+	openAttempts  int       // started attempts that have not ended
+	ended         bool      // it has its final answer or was abandoned
 
-	answered bool
-	ranAt    float64 // the first attempt that may have run was written then, 0 for none
+	answered   bool    // it has its final answer
+	firstRunAt float64 // when the first attempt that may have run was written, 0 if there is none
 
-	// told in the log where it ends badly
+	// These fields are only used for the log line of recordEnd.
 	class, group int
-	arrived      float64
-	repeat       bool
-	why          string // the module's reason for a refusal or failure
+	arrivedAt    float64
+	retry        bool
+	reason       string // why it was refused, failed or abandoned
 }
 
-// try is an attempt; one that was skipped has no ref.
-type try struct {
-	server beechgrade.ServerID
-	ref    slots.Ref
-	began  float64
-	waited float64 // for a connection
-	sent   float64 // 0 until it is about to be written
-	ended  float64 // 0 while it is out
-	result beechgrade.Result
+// attempt is one attempt of a request. Times are in milliseconds on the loop's clock.
+type attempt struct {
+	server    beechgrade.ServerID
+	ref       slots.Ref // zero if it was skipped before it started
+	startedAt float64
+	waitedMs  float64 // time that it waited for a connection
+	sentAt    float64 // 0 until it is about to be written
+	endedAt   float64 // 0 until it has ended
+	result    beechgrade.Result
 }
 
-// BeforeSend implements backend.Events. A request whose client has gone is over at once.
-func (c *Core) BeforeSend(t backend.AttemptID, until float64) (tellMs int, ok bool) {
-	q, ok := c.requests.Get(t.Request)
+// BeforeSend implements backend.Events. It abandons a request whose client has disconnected.
+func (c *Core) BeforeSend(id backend.AttemptID, deadline float64) (timeoutMs int, ok bool) {
+	req, ok := c.requests.Get(id.Request)
 	if !ok {
 		return 0, false
 	}
-	if !q.over && !q.client.Connected() {
-		c.Abandon(t.Request, "peer, seen at the send")
+	if !req.ended && !req.client.Connected() {
+		c.Abandon(id.Request, "peer, seen at the send")
 		return 0, false
 	}
-	class, now := &c.cfg.Settings.Classes[q.class], c.loop.Now()
-	if now >= q.due { // the process was held up since that was looked at
+	class, now := &c.cfg.Settings.Classes[req.class], c.loop.Now()
+	if now >= req.deadline { // the process may have been paused since the deadline was last checked
 		return 0, false
 	}
-	tellMs = int(max(1, math.Floor(until-now)))
-	if !c.guard.CheckSend(invariant.Attempt{ID: q.id, Effect: class.Effect, RequestEnded: q.over, InFlight: q.out(),
-		MayDuplicate: c.cfg.Settings.MayDuplicate, FirstRunAt: q.ranAt, DedupWindowMs: clock.Milliseconds(class.DedupWindow),
-		Now: now, Deadline: q.due, TimeoutMs: float64(tellMs)}) {
+	timeoutMs = int(max(1, math.Floor(deadline-now)))
+	if !c.guard.CheckSend(invariant.Attempt{ID: req.id, Effect: class.Effect, RequestEnded: req.ended, InFlight: req.inFlight(),
+		MayDuplicate: c.cfg.Settings.MayDuplicate, FirstRunAt: req.firstRunAt, DedupWindowMs: clock.Milliseconds(class.DedupWindow),
+		Now: now, Deadline: req.deadline, TimeoutMs: float64(timeoutMs)}) {
 		return 0, false
 	}
-	q.tries[t.Number].sent = now
-	return tellMs, true
+	req.attempts[id.Number].sentAt = now
+	return timeoutMs, true
 }
 
-// out is the number of attempts that were written and have not ended.
-func (q *request) out() int {
+// inFlight returns the number of attempts that were written and have not ended.
+func (req *request) inFlight() int {
 	n := 0
-	for i := range q.tries {
-		if y := &q.tries[i]; y.sent > 0 && y.ended == 0 {
+	for i := range req.attempts {
+		if a := &req.attempts[i]; a.sentAt > 0 && a.endedAt == 0 {
 			n++
 		}
 	}
 	return n
 }
 
-// mayHaveRun tells whether an attempt that was written and ended so may have had an effect.
+// mayHaveRun reports whether an attempt that was written and ended with r may have had an effect.
 func mayHaveRun(r beechgrade.Result) bool {
 	switch r {
 	case beechgrade.OK, beechgrade.Failed, beechgrade.TimedOut, beechgrade.Reset, beechgrade.Cancelled:
@@ -88,64 +89,67 @@
 	return false
 }
 
-// conclude marks a request over, by a final answer of the router's, and returns it, or nil if it was over before.
-func (c *Core) conclude(a *beechgrade.Action) *request {
-	ref := refOf(a.ID)
-	q, ok := c.requests.Get(ref)
-	if !ok || q.over || !c.guard.CheckAnswer(q.id, q.answered) {
+// finish ends a request with a final answer of the router and returns it, or nil if it had already ended.
+func (c *Core) finish(a *beechgrade.Action) *request {
+	ref := requestRef(a.ID)
+	req, ok := c.requests.Get(ref)
+	if !ok || req.ended || !c.guard.CheckAnswer(req.id, req.answered) {
 		return nil
 	}
-	q.over, q.answered, q.why = true, true, a.Text
-	c.release(ref, q)
-	return q
+	req.ended, req.answered, req.reason = true, true, a.Text
+	c.release(ref, req)
+	return req
 }
 
-// release takes back what of a request that is over has not been sent, whether or not the settings allow attempts to be
-// called off, and frees its slot once nothing is left of it.
-func (c *Core) release(ref slots.Ref, q *request) {
-	if !q.over {
+// release cancels the unsent attempts of a request that has ended, even if the settings do not allow attempts in flight to
+// be cancelled, and frees the request's slot and ID once all its attempts have ended.
+func (c *Core) release(ref slots.Ref, req *request) {
+	if !req.ended {
 		return
 	}
-	for i := range q.tries {
-		c.servers.CancelUnsentAttempt(q.tries[i].ref)
+	for i := range req.attempts {
+		c.servers.CancelUnsentAttempt(req.attempts[i].ref)
 	}
-	if _, ok := c.requests.Get(ref); ok && q.open == 0 { // the last one taken back has led here already
+	// Cancelling the last open attempt calls release again through AttemptEnded, so the slot may already be free.
+	if _, ok := c.requests.Get(ref); ok && req.openAttempts == 0 {
 		c.requests.Delete(ref)
-		delete(c.ids, q.id)
+		delete(c.openIDs, req.id)
 	}
 }
 
-// send starts a request's next attempt, or skips it where the wire's rules let it not be sent.
-func (c *Core) send(a *beechgrade.Action) {
-	ref := refOf(a.ID)
-	q, ok := c.requests.Get(ref)
+// startAttempt starts a request's next attempt. It skips the attempt if the request has ended, has used all its attempts
+// or has reached its deadline.
+func (c *Core) startAttempt(a *beechgrade.Action) {
+	ref := requestRef(a.ID)
+	req, ok := c.requests.Get(ref)
 	if !ok {
 		return
 	}
-	no, until := len(q.tries), q.due
+	number, deadline := len(req.attempts), req.deadline
 	if a.Wait != 0 {
-		until = min(until, c.loop.Now()+clock.Milliseconds(a.Wait))
+		deadline = min(deadline, c.loop.Now()+clock.Milliseconds(a.Wait))
 	}
-	q.tries = append(q.tries, try{server: a.Server, began: c.loop.Now()})
-	if q.over || no >= c.cfg.Settings.MaxAttempts || q.due <= c.loop.Now() {
-		c.tell(&beechgrade.Outcome{ID: a.ID, Attempt: no, Server: a.Server, Result: beechgrade.Skipped, Final: q.over})
+	req.attempts = append(req.attempts, attempt{server: a.Server, startedAt: c.loop.Now()})
+	if req.ended || number >= c.cfg.Settings.MaxAttempts || req.deadline <= c.loop.Now() {
+		c.deliver(&beechgrade.Outcome{ID: a.ID, Attempt: number, Server: a.Server, Result: beechgrade.Skipped, Final: req.ended})
 		return
 	}
-	q.open++
-	at := c.servers.StartAttempt(string(a.Server), q.query, until, clock.Milliseconds(a.SendDeadline), q.once,
-		backend.AttemptID{Request: ref, Number: no})
-	q.tries[no].ref = at
+	req.openAttempts++
+	attemptRef := c.servers.StartAttempt(string(a.Server), req.query, deadline, clock.Milliseconds(a.SendDeadline),
+		req.nonIdempotent, backend.AttemptID{Request: ref, Number: number})
+	req.attempts[number].ref = attemptRef
 }
 
-// requestID names a request to the router by its slot: clients' own ids might meet.
-func requestID(r slots.Ref) beechgrade.RequestID {
+// requestID returns the ID by which the router knows the request in a slot. The IDs that clients choose could collide.
+func requestID(ref slots.Ref) beechgrade.RequestID {
 	var b [8]byte
-	binary.BigEndian.PutUint32(b[:4], r.Index)
-	binary.BigEndian.PutUint32(b[4:], r.Generation)
+	binary.BigEndian.PutUint32(b[:4], ref.Index)
+	binary.BigEndian.PutUint32(b[4:], ref.Generation)
 	return beechgrade.RequestID(b[:])
 }
 
-func refOf(id beechgrade.RequestID) slots.Ref {
+// requestRef returns the slot of the request with the given ID: the inverse of requestID.
+func requestRef(id beechgrade.RequestID) slots.Ref {
 	if len(id) != 8 {
 		return slots.Ref{}
 	}
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -8,43 +8,45 @@
 	"beechgrade/internal/metrics"
 )
 
-// tracesEach bounds the lines about requests that ended badly, per second: on a bad day most do.
-const tracesEach = 20
+// maxLoggedPerSecond limits the number of log lines about ended requests per second: during an outage, most requests end
+// badly.
+const maxLoggedPerSecond = 20
 
-// tracer logs requests that ended badly, each from its arrival to its end.
-type tracer struct {
-	second  int64 // of the clock
-	logged  int   // in that second
-	omitted int   // since the last line
+// logLimit is the state of the limit on log lines about ended requests.
+type logLimit struct {
+	second  int64 // current second of the loop's clock
+	logged  int   // requests to be logged in that second, including omitted ones
+	omitted int   // lines omitted since the last one that was written
 }
 
-// trace logs how a request ended, unless that was well: each attempt with its server, the time from the request's
-// arrival to its start, on its connection and at its end, in milliseconds, and its result.
-func (c *Core) trace(q *request, how string) {
+// recordEnd counts how a request ended, and logs it unless it was served within its latency target. The line lists each
+// attempt as "server:start+wait-end:result", in milliseconds: start and end count from the arrival of the request, and wait
+// is the time that the attempt waited for a connection.
+func (c *Core) recordEnd(req *request, outcome string) {
 	now := c.loop.Now()
-	c.loop.Metrics().Add(metrics.Requests, how)
-	if how == "served" && now-q.arrived <= clock.Milliseconds(c.cfg.Settings.Classes[q.class].LatencyTarget) {
+	c.loop.Metrics().Add(metrics.Requests, outcome)
+	if outcome == "served" && now-req.arrivedAt <= clock.Milliseconds(c.cfg.Settings.Classes[req.class].LatencyTarget) {
 		return
 	}
-	t := &c.traces
-	if s := int64(now / 1000); s != t.second {
-		t.second, t.logged = s, 0
+	limit := &c.logLimit
+	if second := int64(now / 1000); second != limit.second {
+		limit.second, limit.logged = second, 0
 	}
-	if t.logged++; t.logged > tracesEach {
-		t.omitted++
+	if limit.logged++; limit.logged > maxLoggedPerSecond {
+		limit.omitted++
 		return
 	}
-	var b strings.Builder
-	for i := range q.tries {
-		y := &q.tries[i]
-		fmt.Fprintf(&b, "%s:%.0f+%.0f", y.server, y.began-q.arrived, y.waited)
-		if y.ended > 0 {
-			fmt.Fprintf(&b, "-%.0f:%s", y.ended-q.arrived, y.result)
+	var text strings.Builder
+	for i := range req.attempts {
+		a := &req.attempts[i]
+		fmt.Fprintf(&text, "%s:%.0f+%.0f", a.server, a.startedAt-req.arrivedAt, a.waitedMs)
+		if a.endedAt > 0 {
+			fmt.Fprintf(&text, "-%.0f:%s", a.endedAt-req.arrivedAt, a.result)
 		}
-		b.WriteByte(' ')
+		text.WriteByte(' ')
 	}
-	c.log.Info("request ended", "id", q.id, "how", how, "class", c.cfg.Classes[q.class], "group", q.group,
-		"repeat", q.repeat, "why", q.why, "ms", int(now-q.arrived), "patience", int(q.due-q.arrived), "tries", strings.TrimSpace(b.String()),
-		"omitted", t.omitted)
-	t.omitted = 0
+	c.log.Info("request ended", "id", req.id, "how", outcome, "class", c.cfg.Classes[req.class], "group", req.group,
+		"repeat", req.retry, "why", req.reason, "ms", int(now-req.arrivedAt), "patience", int(req.deadline-req.arrivedAt),
+		"tries", strings.TrimSpace(text.String()), "omitted", limit.omitted)
+	limit.omitted = 0
 }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,9 +1,9 @@
-// Package invariant guards the rules that no fault excuses: what may be sent and sent again, when a client's connection may be closed,
-// that a request is answered once, and that none is taken by a process that has ended. Each of these steps asks the one Guard of the
-// process right before it is taken. A step that breaks a rule is not taken where that is possible, and is counted and logged always:
-// it is a fault of the program, whatever the world around it does.
+// Package invariant checks rules that must hold whatever fails outside the process: which attempts may be sent or repeated,
+// when a client's connection may be closed, that a request is answered only once, and that no request is accepted after
+// shutdown. Each such step is checked by the Guard of the process right before it is taken. A step that would break a rule
+// is not taken where that is possible, and is always counted and logged, because it is a bug in this program.
 //
-// The package decides nothing else and knows no sockets.
+// The package makes no other decisions and does not use sockets.
 package invariant
 
 import (
@@ -13,33 +13,33 @@
 	"beechgrade/internal/metrics"
 )
 
-// Rule names an invariant, as the counters and the log have it.
+// Rule is the name of an invariant in the metrics and in the log.
 type Rule string
 
-// The rules.
+// The rules, each with the step that violates it.
 const (
-	SentAfterOver   Rule = "sent_after_over"  // an attempt began for a request that is over
-	SentAfterDue    Rule = "sent_after_due"   // an attempt began after its client's time
-	TwoOut          Rule = "two_attempts_out" // an attempt began while another was out
-	RanMaybeTwice   Rule = "may_run_twice"    // one that may have run was sent again, though its class forbids that
-	ToldTooLong     Rule = "told_too_long"    // a server was told more time than the client has left
-	AnsweredTwice   Rule = "answered_twice"   // a request had a second final answer
-	ClosedOwing     Rule = "closed_owing"     // this side closed a client's connection that was owed an answer
-	TakenAfterEnd   Rule = "taken_after_end"  // a request was taken by a process that had ended its service
-	EndedUnanswered Rule = "ended_unanswered" // the process ended while a request had no answer
+	SentAfterEnd          Rule = "sent_after_over"  // sending an attempt of a request that has ended
+	SentAfterDeadline     Rule = "sent_after_due"   // sending an attempt after the request's deadline
+	ConcurrentAttempts    Rule = "two_attempts_out" // sending an attempt with another in flight, without MayDuplicate
+	MayRunTwice           Rule = "may_run_twice"    // repeating an attempt that may have run, where Effect forbids it
+	TimeoutTooLong        Rule = "told_too_long"    // sending a time limit that exceeds the time to the deadline
+	AnsweredTwice         Rule = "answered_twice"   // giving a request a second final answer
+	ClosedUnanswered      Rule = "closed_owing"     // closing a client's connection with unanswered requests
+	AcceptedAfterShutdown Rule = "taken_after_end"  // accepting a request after the end of service
+	ShutdownUnanswered    Rule = "ended_unanswered" // ending the service with unanswered requests
 )
 
-// Guard checks the steps of one pooler. It is for the loop alone.
+// Guard checks the invariants of one pooler. Its methods must only be called on the loop's goroutine.
 type Guard struct {
 	log     *slog.Logger
 	metrics *metrics.Set
-	ended   bool
+	ended   bool // CheckShutdown was called
 }
 
-// New makes a guard that counts in m.
+// New returns a guard that counts violations in m.
 func New(log *slog.Logger, m *metrics.Set) *Guard { return &Guard{log: log, metrics: m} }
 
-// violated counts and logs a step that breaks a rule.
+// violated counts and logs a violation of a rule, and returns false.
 func (g *Guard) violated(rule Rule, attrs ...any) bool {
 	g.metrics.Add(metrics.Violations, string(rule))
 	g.log.Error("invariant violated", append([]any{"rule", rule}, attrs...)...)
@@ -52,44 +52,44 @@
 	Effect        beechgrade.Effect
 	RequestEnded  bool    // the request has its final answer, or its client has gone
 	InFlight      int     // number of other attempts of the request that were written and have not ended
-	MayDuplicate  bool    // the settings allow a second copy
-	FirstRunAt    float64 // when the first attempt that may have run was written, 0 for none
+	MayDuplicate  bool    // the settings allow attempts of one request to run concurrently
+	FirstRunAt    float64 // when the first attempt that may have run was written, 0 if there is none
 	DedupWindowMs float64 // for deduplicated requests: repeats are dropped for this long after FirstRunAt
 	Now, Deadline float64
 	TimeoutMs     float64 // the time limit that is sent to the server
 }
 
 // CheckSend reports whether an attempt may be written.
-func (g *Guard) CheckSend(s Attempt) bool {
+func (g *Guard) CheckSend(a Attempt) bool {
 	switch {
-	case s.RequestEnded:
-		return g.violated(SentAfterOver, "id", s.ID)
-	case s.Now >= s.Deadline:
-		return g.violated(SentAfterDue, "id", s.ID, "late_ms", s.Now-s.Deadline)
-	case s.InFlight > 0 && !s.MayDuplicate:
-		return g.violated(TwoOut, "id", s.ID, "out", s.InFlight)
-	case s.FirstRunAt > 0 && s.Effect == beechgrade.Unsafe,
-		s.FirstRunAt > 0 && s.Effect == beechgrade.Deduplicated && s.Now >= s.FirstRunAt+s.DedupWindowMs:
-		return g.violated(RanMaybeTwice, "id", s.ID, "since_ms", s.Now-s.FirstRunAt)
-	case s.TimeoutMs > max(1, s.Deadline-s.Now): // less than 1 ms is told as 1
-		return g.violated(ToldTooLong, "id", s.ID, "told_ms", s.TimeoutMs, "left_ms", s.Deadline-s.Now)
+	case a.RequestEnded:
+		return g.violated(SentAfterEnd, "id", a.ID)
+	case a.Now >= a.Deadline:
+		return g.violated(SentAfterDeadline, "id", a.ID, "late_ms", a.Now-a.Deadline)
+	case a.InFlight > 0 && !a.MayDuplicate:
+		return g.violated(ConcurrentAttempts, "id", a.ID, "out", a.InFlight)
+	case a.FirstRunAt > 0 && a.Effect == beechgrade.Unsafe,
+		a.FirstRunAt > 0 && a.Effect == beechgrade.Deduplicated && a.Now >= a.FirstRunAt+a.DedupWindowMs:
+		return g.violated(MayRunTwice, "id", a.ID, "since_ms", a.Now-a.FirstRunAt)
+	case a.TimeoutMs > max(1, a.Deadline-a.Now): // the shortest time limit that can be sent is 1 ms
+		return g.violated(TimeoutTooLong, "id", a.ID, "told_ms", a.TimeoutMs, "left_ms", a.Deadline-a.Now)
 	}
 	return true
 }
 
-// CheckAnswer reports whether a request may be given a final answer. before says that it has already had one.
-func (g *Guard) CheckAnswer(id string, before bool) bool {
-	if before {
+// CheckAnswer reports whether a request may be given a final answer. answered says that it already has one.
+func (g *Guard) CheckAnswer(id string, answered bool) bool {
+	if answered {
 		return g.violated(AnsweredTwice, "id", id)
 	}
 	return true
 }
 
-// CheckClose reports whether a client's connection may be closed for the given reason while owed requests on it are
-// unanswered. forced says that the client itself is the reason: it does not read, or sends input that cannot be accepted.
-func (g *Guard) CheckClose(why string, owed int, forced bool) bool {
-	if owed > 0 && !forced {
-		return g.violated(ClosedOwing, "why", why, "owed", owed)
+// CheckClose reports whether a client's connection may be closed for the given reason with the given number of unanswered
+// requests. forced says that the client itself is the reason: it does not read, or sends input that cannot be accepted.
+func (g *Guard) CheckClose(reason string, unanswered int, forced bool) bool {
+	if unanswered > 0 && !forced {
+		return g.violated(ClosedUnanswered, "why", reason, "owed", unanswered)
 	}
 	return true
 }
@@ -97,16 +97,16 @@
 // CheckAccept reports whether a request may be accepted.
 func (g *Guard) CheckAccept(id string) bool {
 	if g.ended {
-		return g.violated(TakenAfterEnd, "id", id)
+		return g.violated(AcceptedAfterShutdown, "id", id)
 	}
 	return true
 }
 
-// CheckShutdown records that the process ends its service with the given number of requests unanswered.
+// CheckShutdown records that the process ends its service, and reports whether no request is unanswered.
 func (g *Guard) CheckShutdown(unanswered int) bool {
 	g.ended = true
 	if unanswered > 0 {
-		return g.violated(EndedUnanswered, "requests", unanswered)
+		return g.violated(ShutdownUnanswered, "requests", unanswered)
 	}
 	return true
 }
