--- a/cmd/beechgrade-sim/main.go
+++ b/cmd/beechgrade-sim/main.go
@@ -1,5 +1,5 @@
-// Command beechgrade-sim joins the router to the simulator's wire on standard input and output.
-// It hosts many instances, one router each; they share nothing, and it decides nothing.
+// Command beechgrade-sim connects the router to the simulator's wire protocol on standard input and output. It runs many
+// instances with one router each. The instances share no state, and the command makes no routing decisions.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	}
 }
 
-// run answers batches until the input ends.
+// run replies to batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	dec := wire.NewDecoder(in)
 	w := bufio.NewWriterSize(out, 1<<20)
@@ -36,24 +36,24 @@
 		}
 		reply.Reset()
 		for i := range batch.Items {
-			it := &batch.Items[i]
-			switch it.Kind {
+			item := &batch.Items[i]
+			switch item.Kind {
 			case wire.Start:
-				routers[it.Instance] = beechgrade.New(it.Settings, it.Seed)
+				routers[item.Instance] = beechgrade.New(item.Settings, item.Seed)
 			case wire.Stop:
-				delete(routers, it.Instance)
+				delete(routers, item.Instance)
 			case wire.Deliver:
-				r := routers[it.Instance]
-				if r == nil {
+				router := routers[item.Instance]
+				if router == nil {
 					continue
 				}
-				var fault string
-				actions, fault = handle(r, batch.Now, it.Event, actions[:0])
-				if fault != "" {
-					reply.AddFault(it.Instance, fault)
+				var panicText string
+				actions, panicText = handle(router, batch.Now, item.Event, actions[:0])
+				if panicText != "" {
+					reply.AddFault(item.Instance, panicText)
 				}
 				for k := range actions {
-					reply.Add(it.Instance, &actions[k])
+					reply.Add(item.Instance, &actions[k])
 				}
 			}
 		}
@@ -66,13 +66,13 @@
 	}
 }
 
-// handle runs one event; a panic comes back as text, so that it is reported and not lost.
+// handle passes one event to a router. It recovers from a panic and returns its text, so that the reply can report it.
 func handle(r *beechgrade.Router, now beechgrade.Time, e beechgrade.Event, out []beechgrade.Action) (
-	actions []beechgrade.Action, fault string,
+	actions []beechgrade.Action, panicText string,
 ) {
 	defer func() {
 		if p := recover(); p != nil {
-			actions, fault = nil, fmt.Sprint("panic: ", p)
+			actions, panicText = nil, fmt.Sprint("panic: ", p)
 		}
 	}()
 	return r.Handle(now, e, out), ""
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire is the codec of the simulator's wire: batches of events in, lines of actions out.
-// It holds no decision; positions become times on the clock here, once.
+// Package wire is the codec of the simulator's wire protocol: it decodes batches of events and encodes actions, one message
+// a line. It converts replication positions to times on the router's clock and makes no routing decisions.
 package wire
 
 import (
@@ -15,17 +15,17 @@
 	"beechgrade"
 )
 
-// Kind says what an Item of a batch is.
+// Kind says what kind of item an Item is.
 type Kind uint8
 
 // The kinds.
 const (
-	Start   Kind = iota // a fresh instance: Settings and Seed are set
-	Stop                // the instance was killed
-	Deliver             // Event is for the instance
+	Start   Kind = iota // the instance starts, or starts anew; Settings and Seed are set
+	Stop                // the instance has crashed
+	Deliver             // the instance receives Event
 )
 
-// Item is one event of a batch for one instance.
+// Item is one item of a batch, for one router instance.
 type Item struct {
 	Instance int
 	Kind     Kind
@@ -34,55 +34,56 @@
 	Event    beechgrade.Event
 }
 
-// Batch is what arrived at one time.
+// Batch holds the items that arrive at one time.
 type Batch struct {
 	Now   beechgrade.Time
 	Items []Item
 }
 
-// slots is how many numbered lists the wire has.
-const slots = 16
+// listSlots is the number of numbered server lists in the protocol.
+const listSlots = 16
 
-// Decoder reads batches. Numbered lists and each instance's zero of positions live here, because
-// they belong to the process and not to a router.
+// Decoder reads batches. It keeps the numbered server lists and the position origin of each instance, because the protocol
+// has them for the whole process and not for one router.
 type Decoder struct {
-	in    *bufio.Reader
-	line  int
-	lists [slots][]beechgrade.Entry
-	zero  map[int]time.Duration
-	long  []byte
+	in              *bufio.Reader
+	line            int // number of the last line that was read
+	lists           [listSlots][]beechgrade.Entry
+	positionOrigins map[int]time.Duration // by instance: the time on the clock of position 0
+	longLine        []byte                // a line that is longer than the buffer of in
 }
 
-// NewDecoder reads from r.
+// NewDecoder returns a Decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder {
-	return &Decoder{in: bufio.NewReaderSize(r, 1<<20), zero: map[int]time.Duration{}}
+	return &Decoder{in: bufio.NewReaderSize(r, 1<<20), positionOrigins: map[int]time.Duration{}}
 }
 
-// readLine returns the next line without its end; it is valid until the next call.
+// readLine returns the next line without its line ending. The line is valid until the next call.
 func (d *Decoder) readLine() ([]byte, error) {
-	d.long = d.long[:0]
+	d.longLine = d.longLine[:0]
 	for {
 		part, err := d.in.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
-			d.long = append(d.long, part...)
+			d.longLine = append(d.longLine, part...)
 			continue
 		}
 		if err != nil {
-			if err == io.EOF && len(part)+len(d.long) > 0 {
+			if err == io.EOF && len(part)+len(d.longLine) > 0 {
 				return nil, io.ErrUnexpectedEOF
 			}
 			return nil, err
 		}
 		d.line++
-		if len(d.long) > 0 {
-			d.long = append(d.long, part...)
-			part = d.long
+		if len(d.longLine) > 0 {
+			d.longLine = append(d.longLine, part...)
+			part = d.longLine
 		}
 		return bytes.TrimSuffix(part[:len(part)-1], []byte{'\r'}), nil
 	}
 }
 
-func (d *Decoder) wrap(err error) error {
+// wrapError adds the line number to an error. An end of the input becomes io.ErrUnexpectedEOF.
+func (d *Decoder) wrapError(err error) error {
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
 	}
@@ -99,88 +100,89 @@
 		return nil, io.EOF
 	}
 	if err != nil {
-		return nil, d.wrap(err)
+		return nil, d.wrapError(err)
 	}
-	f := newFields(first)
-	if f.name != "SYNC" {
-		return nil, d.wrap(fmt.Errorf("want SYNC, got %q", f.name))
+	fields := newFieldReader(first)
+	if fields.name != "SYNC" {
+		return nil, d.wrapError(fmt.Errorf("want SYNC, got %q", fields.name))
 	}
-	b := &Batch{}
+	batch := &Batch{}
 	seen := false
-	for f.next() {
-		if f.key == "wall_ns" {
-			b.Now, seen = f.duration(), true
+	for fields.next() {
+		if fields.key == "wall_ns" {
+			batch.Now, seen = fields.duration(), true
 		}
 	}
 	if !seen {
-		f.fail("wall_ns")
+		fields.fail("wall_ns")
 	}
-	if f.err != nil {
-		return nil, d.wrap(f.err)
+	if fields.err != nil {
+		return nil, d.wrapError(fields.err)
 	}
 	for {
 		line, err := d.readLine()
 		if err != nil {
-			return nil, d.wrap(err)
+			return nil, d.wrapError(err)
 		}
 		if len(line) == 0 {
 			continue
 		}
-		f := newFields(line)
-		if f.name == "COMMIT" {
-			return b, nil
+		fields := newFieldReader(line)
+		if fields.name == "COMMIT" {
+			return batch, nil
 		}
-		if err := d.item(b, f); err != nil {
-			return nil, d.wrap(err)
+		if err := d.decodeItem(batch, fields); err != nil {
+			return nil, d.wrapError(err)
 		}
 	}
 }
 
-func (d *Decoder) item(b *Batch, f *fields) error {
-	it := Item{Instance: -1, Kind: Deliver}
-	switch f.name {
+// decodeItem decodes one message and appends its item to the batch. It ignores messages that it does not know.
+func (d *Decoder) decodeItem(batch *Batch, fields *fieldReader) error {
+	item := Item{Instance: -1, Kind: Deliver}
+	switch fields.name {
 	case "CENSUS":
-		return d.census(f)
+		return d.decodeCensus(fields)
 	case "PROVISION":
-		it.Kind = Start
-		pairs := map[string]string{}
-		for f.next() {
-			switch f.key {
+		item.Kind = Start
+		settings := map[string]string{}
+		for fields.next() {
+			switch fields.key {
 			case "front":
-				it.Instance = f.integer()
+				item.Instance = fields.integer()
 			case "prng":
-				it.Seed = uint64(f.int64())
+				item.Seed = uint64(fields.int64())
 			default:
-				pairs[f.key] = string(f.val)
+				settings[fields.key] = string(fields.val)
 			}
 		}
-		if f.err == nil {
-			var zero time.Duration
+		if fields.err == nil {
+			var origin time.Duration
 			var err error
-			if it.Settings, zero, err = Settings(pairs); err != nil {
+			if item.Settings, origin, err = Settings(settings); err != nil {
 				return fmt.Errorf("PROVISION: %w", err)
 			}
-			d.zero[it.Instance] = zero
+			d.positionOrigins[item.Instance] = origin
 		}
 	case "CRASH_NOW":
-		it.Kind = Stop
-		for f.next() {
-			if f.key == "front" {
-				it.Instance = f.integer()
+		item.Kind = Stop
+		for fields.next() {
+			if fields.key == "front" {
+				item.Instance = fields.integer()
 			}
 		}
-		delete(d.zero, it.Instance)
+		delete(d.positionOrigins, item.Instance)
 	case "MEMBERS":
 		l := &beechgrade.List{}
 		slot, how := -1, ""
-		for f.next() {
-			switch f.key {
+		for fields.next() {
+			switch fields.key {
 			case "front":
-				it.Instance = f.integer()
+				item.Instance = fields.integer()
 			case "how":
-				how = string(f.val)
+				how = string(fields.val)
 			case "slot":
-				slot = f.integer()
+				slot = fields.integer()
 			}
 		}
 		kind, ok := listKinds[how]
@@ -189,200 +191,205 @@
 		}
 		l.Kind = kind
 		if kind != beechgrade.ListFailed {
-			if slot < 0 || slot >= slots {
+			if slot < 0 || slot >= listSlots {
 				return fmt.Errorf("MEMBERS: slot %d out of range", slot)
 			}
 			l.Entries = d.lists[slot]
 		}
-		it.Event = l
+		item.Event = l
 	case "ASK":
-		it.Instance, it.Event = decodeRequest(f)
+		item.Instance, item.Event = decodeRequest(fields)
 	case "SETTLED":
-		it.Instance, it.Event = d.decodeOutcome(f)
+		item.Instance, item.Event = d.decodeOutcome(fields)
 	case "EXPIRED":
 		e := &beechgrade.Abandoned{}
-		for f.next() {
-			switch f.key {
+		for fields.next() {
+			switch fields.key {
 			case "front":
-				it.Instance = f.integer()
+				item.Instance = fields.integer()
 			case "request_id":
-				e.ID = beechgrade.RequestID(f.val)
+				e.ID = beechgrade.RequestID(fields.val)
 			}
 		}
-		it.Event = e
+		item.Event = e
 	case "TIMEOUT_FIRED":
 		e := &beechgrade.Timer{}
-		for f.next() {
-			switch f.key {
+		for fields.next() {
+			switch fields.key {
 			case "front":
-				it.Instance = f.integer()
+				item.Instance = fields.integer()
 			case "tag":
-				e.Tag = f.int64()
+				e.Tag = fields.int64()
 			}
 		}
-		it.Event = e
+		item.Event = e
 	case "ECHO":
 		e := &beechgrade.ProbeResult{Result: beechgrade.TimedOut}
 		var stats []byte
-		for f.next() {
-			switch f.key {
+		for fields.next() {
+			switch fields.key {
 			case "front":
-				it.Instance = f.integer()
+				item.Instance = fields.integer()
 			case "store":
-				e.Server = beechgrade.ServerID(f.val)
+				e.Server = beechgrade.ServerID(fields.val)
 			case "disposition":
-				e.Result = result(f.val)
+				e.Result = decodeResult(fields.val)
 			case "server_stats":
-				stats = f.val
+				stats = fields.val
 			}
 		}
-		e.Report = report(stats, d.zero[it.Instance], f)
-		it.Event = e
+		e.Report = decodeReport(stats, d.positionOrigins[item.Instance], fields)
+		item.Event = e
 	default:
-		return nil // a message that this adapter has no use for
+		return nil
 	}
-	if f.err == nil && it.Instance < 0 {
-		return fmt.Errorf("%s: front missing or negative", f.name)
+	if fields.err == nil && item.Instance < 0 {
+		return fmt.Errorf("%s: front missing or negative", fields.name)
 	}
-	if f.err == nil {
-		b.Items = append(b.Items, it)
+	if fields.err == nil {
+		batch.Items = append(batch.Items, item)
 	}
-	return f.err
+	return fields.err
 }
 
-func decodeRequest(f *fields) (int, *beechgrade.Request) {
-	front, options, work := -1, 0, time.Duration(0)
-	e := &beechgrade.Request{Class: -1, Group: -1}
-	for f.next() {
-		switch f.key {
+// decodeRequest decodes an ASK message and returns its instance and request.
+func decodeRequest(fields *fieldReader) (int, *beechgrade.Request) {
+	instance, options, work := -1, 0, time.Duration(0)
+	request := &beechgrade.Request{Class: -1, Group: -1}
+	for fields.next() {
+		switch fields.key {
 		case "front":
-			front = f.integer()
+			instance = fields.integer()
 		case "request_id":
-			e.ID = beechgrade.RequestID(f.val)
+			request.ID = beechgrade.RequestID(fields.val)
 		case "party":
-			e.Tenant = f.integer()
+			request.Tenant = fields.integer()
 		case "due_ns":
-			e.Deadline = f.duration()
+			request.Deadline = fields.duration()
 		case "shard":
-			e.Group = f.integer()
+			request.Group = fields.integer()
 		case "session":
-			e.Session = string(f.val)
+			request.Session = string(fields.val)
 		case "token_ms":
-			e.SinceCommit = time.Duration(f.float() * float64(time.Millisecond))
+			request.SinceCommit = time.Duration(fields.float() * float64(time.Millisecond))
 		case "expected_ns":
-			work = f.duration()
+			work = fields.duration()
 		case "options":
-			options = f.integer()
+			options = fields.integer()
 		case "cls":
-			e.Class = f.integer()
+			request.Class = fields.integer()
 		}
 	}
+	// Bit 0 of options says that expected_ns is to be used, bit 1 that the client repeats the request.
 	if options&1 != 0 {
-		e.Work = work
+		request.Work = work
 	}
-	e.Retry = options&2 != 0
-	if e.ID == "" {
-		f.fail("request_id")
+	request.Retry = options&2 != 0
+	if request.ID == "" {
+		fields.fail("request_id")
 	}
-	return front, e
+	return instance, request
 }
 
-func (d *Decoder) decodeOutcome(f *fields) (int, *beechgrade.Outcome) {
-	front, note := -1, int64(0)
-	e := &beechgrade.Outcome{Result: beechgrade.Failed}
+// decodeOutcome decodes a SETTLED message and returns its instance and outcome.
+func (d *Decoder) decodeOutcome(fields *fieldReader) (int, *beechgrade.Outcome) {
+	instance, note := -1, int64(0)
+	outcome := &beechgrade.Outcome{Result: beechgrade.Failed}
 	var stats []byte
-	for f.next() {
-		switch f.key {
+	for fields.next() {
+		switch fields.key {
 		case "front":
-			front = f.integer()
+			instance = fields.integer()
 		case "request_id":
-			e.ID = beechgrade.RequestID(f.val)
+			outcome.ID = beechgrade.RequestID(fields.val)
 		case "try":
-			e.Attempt = f.integer()
+			outcome.Attempt = fields.integer()
 		case "disposition":
-			e.Result = result(f.val)
+			outcome.Result = decodeResult(fields.val)
 		case "no_more":
-			e.Final = f.boolean()
+			outcome.Final = fields.boolean()
 		case "store":
-			e.Server = beechgrade.ServerID(f.val)
+			outcome.Server = beechgrade.ServerID(fields.val)
 		case "note":
-			note = f.int64()
+			note = fields.int64()
 		case "server_stats":
-			stats = f.val
+			stats = fields.val
 		}
 	}
-	zero := d.zero[front]
+	origin := d.positionOrigins[instance]
+	// The lowest two bits of note hold the server's role, the others its position in milliseconds, 0 for none.
 	switch note & 3 {
 	case 1:
-		e.Report.Role = beechgrade.RolePrimary
+		outcome.Report.Role = beechgrade.RolePrimary
 	case 2:
-		e.Report.Role = beechgrade.RoleReplica
+		outcome.Report.Role = beechgrade.RoleReplica
 	}
 	if note >= 4 {
-		e.Report.Position, e.Report.HasPosition = zero+time.Duration(note/4)*time.Millisecond, true
+		outcome.Report.Position, outcome.Report.HasPosition = origin+time.Duration(note/4)*time.Millisecond, true
 	}
-	e.LoadReport = report(stats, zero, f)
-	return front, e
+	outcome.LoadReport = decodeReport(stats, origin, fields)
+	return instance, outcome
 }
 
-func (d *Decoder) census(f *fields) error {
+// decodeCensus reads the ENTRY lines that follow a CENSUS message and stores them as a numbered server list.
+func (d *Decoder) decodeCensus(fields *fieldReader) error {
 	slot, records := -1, 0
-	for f.next() {
-		switch f.key {
+	for fields.next() {
+		switch fields.key {
 		case "slot":
-			slot = f.integer()
+			slot = fields.integer()
 		case "records":
-			records = f.integer()
+			records = fields.integer()
 		}
 	}
-	if f.err != nil {
-		return f.err
+	if fields.err != nil {
+		return fields.err
 	}
-	if slot < 0 || slot >= slots || records < 0 {
+	if slot < 0 || slot >= listSlots || records < 0 {
 		return fmt.Errorf("CENSUS: slot %d or records %d out of range", slot, records)
 	}
-	var list []beechgrade.Entry // fresh: events of this batch may still hold the old one
+	var list []beechgrade.Entry // a new slice, because events of this batch may still refer to the old list
 	for range records {
 		line, err := d.readLine()
 		if err != nil {
 			return err
 		}
-		g := newFields(line)
-		if g.name != "ENTRY" {
-			return fmt.Errorf("want ENTRY, got %q", g.name)
+		entryFields := newFieldReader(line)
+		if entryFields.name != "ENTRY" {
+			return fmt.Errorf("want ENTRY, got %q", entryFields.name)
 		}
-		e := beechgrade.Entry{Weight: 1}
-		for g.next() {
-			switch g.key {
+		entry := beechgrade.Entry{Weight: 1}
+		for entryFields.next() {
+			switch entryFields.key {
 			case "online_since_ns":
-				e.StartedAt = g.duration()
+				entry.StartedAt = entryFields.duration()
 			case "shard":
-				e.Group = g.integer()
+				entry.Group = entryFields.integer()
 			case "shape":
-				e.MachineType = g.integer()
+				entry.MachineType = entryFields.integer()
 			case "availability":
-				s, ok := states[string(g.val)]
+				s, ok := serverStates[string(entryFields.val)]
 				if !ok {
-					return fmt.Errorf("ENTRY: unknown availability %q", g.val)
+					return fmt.Errorf("ENTRY: unknown availability %q", entryFields.val)
 				}
-				e.State = s
+				entry.State = s
 			case "weight":
-				e.Weight = g.float()
+				entry.Weight = entryFields.float()
 			case "hall":
-				e.Zone = g.integer()
+				entry.Zone = entryFields.integer()
 			case "store":
-				e.Server = beechgrade.ServerID(g.val)
+				entry.Server = beechgrade.ServerID(entryFields.val)
 			case "is_primary":
-				e.Primary = g.float() == 1
+				entry.Primary = entryFields.float() == 1
 			}
 		}
-		if g.err != nil {
-			return g.err
+		if entryFields.err != nil {
+			return entryFields.err
 		}
-		if e.Server == "" {
+		if entry.Server == "" {
 			return errors.New("ENTRY: store missing")
 		}
-		list = append(list, e)
+		list = append(list, entry)
 	}
 	d.lists[slot] = list
 	return nil
@@ -393,13 +400,13 @@
 	"restored": beechgrade.ListRestored, "unavailable": beechgrade.ListFailed,
 }
 
-var states = map[string]beechgrade.ServerState{
+var serverStates = map[string]beechgrade.ServerState{
 	"SERVING": beechgrade.Serving, "DRAINING": beechgrade.Draining, "DELETED": beechgrade.Removed,
 }
 
-// result reads a disposition. A word not known here becomes an error that may have run: the reading
-// that promises least.
-func result(v []byte) beechgrade.Result {
+// decodeResult decodes a disposition. An unknown disposition becomes Failed, which assumes the least: the attempt may have
+// had an effect.
+func decodeResult(v []byte) beechgrade.Result {
 	switch string(v) {
 	case "done":
 		return beechgrade.OK
@@ -421,48 +428,49 @@
 	return beechgrade.Failed
 }
 
-// report reads a load report; positions become times on the clock.
-func report(v []byte, zero time.Duration, f *fields) beechgrade.Report {
+// decodeReport decodes a load report. origin is the time on the clock of position 0.
+func decodeReport(text []byte, origin time.Duration, fields *fieldReader) beechgrade.Report {
 	var r beechgrade.Report
-	for len(v) > 0 {
+	for len(text) > 0 {
 		var pair []byte
-		pair, v, _ = bytes.Cut(v, []byte{','})
+		pair, text, _ = bytes.Cut(text, []byte{','})
 		key, val, ok := bytes.Cut(pair, []byte{':'})
 		if !ok {
 			continue
 		}
 		switch string(key) {
 		case "x0":
-			// Rounded down to whole milliseconds: a printed figure may have been rounded up.
-			ms := int64(f.parse(val) * 1000)
-			r.Position, r.HasPosition = zero+time.Duration(ms)*time.Millisecond, true
+			// The position is rounded down to whole milliseconds, because the printed number may have been rounded up.
+			ms := int64(fields.parse(val) * 1000)
+			r.Position, r.HasPosition = origin+time.Duration(ms)*time.Millisecond, true
 		case "x1":
 			r.Role = beechgrade.RoleReplica
-			if f.parse(val) == 1 {
+			if fields.parse(val) == 1 {
 				r.Role = beechgrade.RolePrimary
 			}
 		case "busy_reqs":
-			r.InFlight, r.HasInFlight = f.parse(val), true
+			r.InFlight, r.HasInFlight = fields.parse(val), true
 		}
 	}
 	return r
 }
 
-// fields walks the parts of a line without allocating.
-type fields struct {
-	name string
-	rest []byte
+// fieldReader reads the key=value fields of a line one by one, without allocating a slice for them.
+type fieldReader struct {
+	name string // name of the message
+	rest []byte // fields that have not been read
 	key  string
 	val  []byte
-	err  error
+	err  error // the first error, after which next returns false
 }
 
-func newFields(line []byte) *fields {
+func newFieldReader(line []byte) *fieldReader {
 	name, rest, _ := bytes.Cut(line, []byte{'\t'})
-	return &fields{name: string(name), rest: rest}
+	return &fieldReader{name: string(name), rest: rest}
 }
 
-func (f *fields) next() bool {
+// next reads the next field into key and val, and reports whether there was one.
+func (f *fieldReader) next() bool {
 	if f.err != nil || len(f.rest) == 0 {
 		return false
 	}
@@ -477,13 +485,15 @@
 	return true
 }
 
-func (f *fields) fail(what string) {
+// fail records that the field what is malformed or missing, unless there is an earlier error.
+func (f *fieldReader) fail(what string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("%s: bad or missing %s %q", f.name, what, f.val)
 	}
 }
 
-func (f *fields) int64() int64 {
+// int64 parses the value as a signed or unsigned 64-bit number; an unsigned one keeps its bits.
+func (f *fieldReader) int64() int64 {
 	v, err := strconv.ParseInt(string(f.val), 10, 64)
 	if err != nil {
 		u, uerr := strconv.ParseUint(string(f.val), 10, 64)
@@ -495,13 +505,13 @@
 	return v
 }
 
-func (f *fields) integer() int { return int(f.int64()) }
+func (f *fieldReader) integer() int { return int(f.int64()) }
 
-func (f *fields) duration() time.Duration { return time.Duration(f.int64()) }
+func (f *fieldReader) duration() time.Duration { return time.Duration(f.int64()) }
 
-func (f *fields) float() float64 { return f.parse(f.val) }
+func (f *fieldReader) float() float64 { return f.parse(f.val) }
 
-func (f *fields) parse(v []byte) float64 {
+func (f *fieldReader) parse(v []byte) float64 {
 	x, err := strconv.ParseFloat(string(v), 64)
 	if err != nil {
 		f.fail(f.key)
@@ -509,53 +519,53 @@
 	return x
 }
 
-func (f *fields) boolean() bool { return string(f.val) == "1" || string(f.val) == "true" }
+func (f *fieldReader) boolean() bool { return string(f.val) == "1" || string(f.val) == "true" }
 
-// Reply gathers the answer to one batch.
+// Reply encodes the reply to one batch.
 type Reply struct{ buf []byte }
 
-// Bytes ends the reply and returns it; Reset makes it ready for the next.
+// Bytes returns the reply, ended by READY. The next reply starts with Reset.
 func (r *Reply) Bytes() []byte { return append(r.buf, "READY\n"...) }
 
 // Reset empties the reply.
 func (r *Reply) Reset() { r.buf = r.buf[:0] }
 
-// AddFault reports that an instance's decision code failed.
-func (r *Reply) AddFault(front int, text string) { r.text("BAIL_OUT", front, text) }
+// AddFault reports that an instance's router panicked.
+func (r *Reply) AddFault(instance int, text string) { r.appendText("BAIL_OUT", instance, text) }
 
 // Add encodes one action of an instance.
-func (r *Reply) Add(front int, a *beechgrade.Action) {
+func (r *Reply) Add(instance int, a *beechgrade.Action) {
 	switch a.Kind {
 	case beechgrade.Send:
-		r.begin("PASS_ON", front)
-		r.str("request_id", string(a.ID))
-		r.str("store", string(a.Server))
-		r.num("timeout_ns", int64(a.Wait))
+		r.appendName("PASS_ON", instance)
+		r.appendString("request_id", string(a.ID))
+		r.appendString("store", string(a.Server))
+		r.appendNonZero("timeout_ns", int64(a.Wait))
 	case beechgrade.Cancel:
-		r.begin("REVOKE", front)
-		r.str("request_id", string(a.ID))
-		r.int("try", int64(a.Attempt))
+		r.appendName("REVOKE", instance)
+		r.appendString("request_id", string(a.ID))
+		r.appendInt("try", int64(a.Attempt))
 	case beechgrade.Refuse:
-		r.begin("NOT_NOW", front)
-		r.str("request_id", string(a.ID))
-		r.num("pause_ns", int64(a.Wait))
+		r.appendName("NOT_NOW", instance)
+		r.appendString("request_id", string(a.ID))
+		r.appendNonZero("pause_ns", int64(a.Wait))
 	case beechgrade.Fail:
-		r.begin("ERROR", front)
-		r.str("request_id", string(a.ID))
+		r.appendName("ERROR", instance)
+		r.appendString("request_id", string(a.ID))
 	case beechgrade.Probe:
-		r.begin("PROBE", front)
-		r.str("store", string(a.Server))
+		r.appendName("PROBE", instance)
+		r.appendString("store", string(a.Server))
 	case beechgrade.SetTimer:
-		r.begin("WAKE_AT", front)
-		r.int("instant_ns", int64(a.At))
-		r.int("tag", a.Tag)
+		r.appendName("WAKE_AT", instance)
+		r.appendInt("instant_ns", int64(a.At))
+		r.appendInt("tag", a.Tag)
 	case beechgrade.Subscribe:
-		r.begin("WATCH", front)
-		r.int("enable", 1)
+		r.appendName("WATCH", instance)
+		r.appendInt("enable", 1)
 	case beechgrade.FetchList:
-		r.begin("LIST_ALL", front)
+		r.appendName("LIST_ALL", instance)
 	case beechgrade.Log:
-		r.text("TRACE", front, a.Text)
+		r.appendText("TRACE", instance, a.Text)
 		return
 	default:
 		return
@@ -563,32 +573,34 @@
 	r.buf = append(r.buf, '\n')
 }
 
-func (r *Reply) begin(name string, front int) {
+// appendName appends the start of a message: its name and instance.
+func (r *Reply) appendName(name string, instance int) {
 	r.buf = append(r.buf, name...)
-	r.int("front", int64(front))
+	r.appendInt("front", int64(instance))
 }
 
-func (r *Reply) str(key, val string) {
+func (r *Reply) appendString(key, val string) {
 	r.buf = append(r.buf, '\t')
 	r.buf = append(r.buf, key...)
 	r.buf = append(r.buf, '=')
 	r.buf = append(r.buf, val...)
 }
 
-func (r *Reply) int(key string, val int64) {
-	r.str(key, "")
+func (r *Reply) appendInt(key string, val int64) {
+	r.appendString(key, "")
 	r.buf = strconv.AppendInt(r.buf, val, 10)
 }
 
-// num leaves a zero out, as the wire does.
-func (r *Reply) num(key string, val int64) {
+// appendNonZero appends a field unless it is zero: the protocol omits these fields when they are zero.
+func (r *Reply) appendNonZero(key string, val int64) {
 	if val != 0 {
-		r.int(key, val)
+		r.appendInt(key, val)
 	}
 }
 
-func (r *Reply) text(name string, front int, text string) {
-	r.begin(name, front)
-	r.str("msg", strings.NewReplacer("\n", " ", "\r", " ", "\t", " ").Replace(text))
+// appendText appends a message with a text. Line breaks and tabs would end the message or the field, so they become spaces.
+func (r *Reply) appendText(name string, instance int, text string) {
+	r.appendName(name, instance)
+	r.appendString("msg", strings.NewReplacer("\n", " ", "\r", " ", "\t", " ").Replace(text))
 	r.buf = append(r.buf, '\n')
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,7 +11,7 @@
 	"beechgrade"
 )
 
-const day = "SYNC\twall_ns=1000000000\n" +
+const sampleInput = "SYNC\twall_ns=1000000000\n" +
 	"PROVISION\tfront=3\tprng=17446744073709551615\tallowed.may_cancel=true\tfamily_info.class_read=lag_bound,mutate\t" +
 	"family_info.position_zero_ns=500\tfamily_info.staleness_bound_ns=300,0\tfamily_info.when_behind=await\t" +
 	"membership_mode=ask\tnew.key=1,2\trequest_classes.count=2\trequest_classes.0.effect=retryable\t" +
@@ -32,7 +32,7 @@
 	"EXPIRED\tfront=3\trequest_id=ab\nTIMEOUT_FIRED\tfront=3\ttag=-77\nNOVEL\tfront=3\tx\nCRASH_NOW\tfront=3\nCOMMIT\n"
 
 func TestDecode(t *testing.T) {
-	d := NewDecoder(strings.NewReader("\n" + day))
+	d := NewDecoder(strings.NewReader("\n" + sampleInput))
 	b, err := d.Next()
 	if err != nil {
 		t.Fatal(err)
@@ -42,12 +42,13 @@
 	}
 	s := b.Items[0].Settings
 	if b.Items[0].Seed != 17446744073709551615 || s.RouterCount != 2 || !s.MayCancel || !s.SubscribeList ||
-		s.LagPolicy != beechgrade.LagWaits || len(s.Classes) != 2 || s.Classes[0].StalenessBound != 300 || s.Classes[0].LatencyTarget != 7 ||
+		s.LagPolicy != beechgrade.LagWaits || len(s.Classes) != 2 ||
+		s.Classes[0].StalenessBound != 300 || s.Classes[0].LatencyTarget != 7 ||
 		s.Classes[1].Effect != beechgrade.Deduplicated || s.Classes[1].Scope != beechgrade.ScopeGroup ||
 		s.Classes[1].Read != beechgrade.Write || s.Tenants[0].Allowance != 1.5 {
 		t.Errorf("settings: %+v", s)
 	}
-	zero := 500 * time.Nanosecond
+	origin := 500 * time.Nanosecond
 	ms := time.Millisecond
 	want := []beechgrade.Event{
 		&beechgrade.List{Kind: beechgrade.ListRestored, Entries: []beechgrade.Entry{
@@ -58,10 +59,11 @@
 		&beechgrade.Request{ID: "ab", Class: 1, Group: 11, Tenant: 1, Deadline: 99, Session: "c.k",
 			SinceCommit: 412500 * time.Microsecond, Work: 12, Retry: true},
 		&beechgrade.Outcome{ID: "ab", Attempt: 2, Server: "h:1", Final: true,
-			Report: beechgrade.Report{Role: beechgrade.RolePrimary, Position: zero + 10*ms, HasPosition: true}},
+			Report: beechgrade.Report{Role: beechgrade.RolePrimary, Position: origin + 10*ms, HasPosition: true}},
 		&beechgrade.Outcome{ID: "ab", Server: "h:1", Result: beechgrade.Failed,
-			Report:     beechgrade.Report{Role: beechgrade.RoleReplica},
-			LoadReport: beechgrade.Report{Role: beechgrade.RolePrimary, Position: zero + 20*ms, HasPosition: true, InFlight: 7, HasInFlight: true}},
+			Report: beechgrade.Report{Role: beechgrade.RoleReplica},
+			LoadReport: beechgrade.Report{Role: beechgrade.RolePrimary, Position: origin + 20*ms, HasPosition: true,
+				InFlight: 7, HasInFlight: true}},
 		&beechgrade.ProbeResult{Server: "h:1", Result: beechgrade.Unreachable},
 		&beechgrade.Abandoned{ID: "ab"},
 		&beechgrade.Timer{Tag: -77},
@@ -80,13 +82,13 @@
 }
 
 func TestEachDisposition(t *testing.T) {
-	for word, want := range map[string]beechgrade.Result{
+	for disposition, want := range map[string]beechgrade.Result{
 		"done": beechgrade.OK, "err": beechgrade.Failed, "busy": beechgrade.Overloaded, "etimedout": beechgrade.TimedOut,
 		"econnrefused": beechgrade.Unreachable, "econnreset": beechgrade.Reset, "ecanceled": beechgrade.Cancelled,
-		"skipped": beechgrade.Skipped, "enoent": beechgrade.Misdirected, "unheard of": beechgrade.Failed,
+		"skipped": beechgrade.Skipped, "enoent": beechgrade.Misdirected, "not known": beechgrade.Failed,
 	} {
-		if got := result([]byte(word)); got != want {
-			t.Errorf("%s: %d, want %d", word, got, want)
+		if got := decodeResult([]byte(disposition)); got != want {
+			t.Errorf("%s: %d, want %d", disposition, got, want)
 		}
 	}
 }
@@ -150,9 +152,9 @@
 	}
 }
 
-// FuzzDecode demands that any input ends in batches or a plain error, never a panic.
+// FuzzDecode checks that any input gives batches or an error with a line number, and never a panic.
 func FuzzDecode(f *testing.F) {
-	f.Add(day)
+	f.Add(sampleInput)
 	f.Add("SYNC\twall_ns=1\nCOMMIT\n")
 	f.Add("SYNC\twall_ns=1\nCENSUS\tslot=3\trecords=-1\n")
 	f.Add("SYNC\twall_ns=9223372036854775808\nECHO\tfront=0\tserver_stats=x0:NaN,x1:,:\nCOMMIT\n")
