--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging writes log lines without ever holding up who logs: a stream that is full, slow or broken costs lines, which are
-// counted, and never an answer. It owns the goroutine that writes.
+// Package logging writes log lines without ever blocking the caller. If the output stream is full, slow or broken, lines are
+// dropped and counted, so that logging never delays an answer. The package runs the goroutine that writes.
 package logging
 
 import (
@@ -9,34 +9,34 @@
 	"time"
 )
 
-// maxBuffered bounds, in bytes, the lines that wait for the stream.
-const maxBuffered = 1 << 20
+// maxBufferedBytes limits the size of the lines that wait for the stream.
+const maxBufferedBytes = 1 << 20
 
 // Writer is an io.Writer that never blocks and never fails. It keeps the order of lines.
 type Writer struct {
 	out  io.Writer
 	wake chan struct{}
 
-	mu      sync.Mutex
-	lines   []byte // that wait
-	dropped int    // lines that found no room, or that the stream did not take
-	busy    bool   // the goroutine is writing
+	mu       sync.Mutex
+	buffered []byte // lines that wait for the stream
+	dropped  int    // lines that exceeded the limit, and failed writes, since the last report
+	writing  bool   // the goroutine is writing to the stream
 }
 
-// NewWriter makes a Writer that writes to out, for as long as the process runs.
+// NewWriter returns a Writer that writes to out. Its goroutine runs until the process exits.
 func NewWriter(out io.Writer) *Writer {
 	w := &Writer{out: out, wake: make(chan struct{}, 1)}
 	go w.run()
 	return w
 }
 
-// Write takes one line. It is io.Writer's.
+// Write queues one line. It implements io.Writer.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
-	if len(w.lines)+len(line) > maxBuffered {
+	if len(w.buffered)+len(line) > maxBufferedBytes {
 		w.dropped++
 	} else {
-		w.lines = append(w.lines, line...)
+		w.buffered = append(w.buffered, line...)
 	}
 	w.mu.Unlock()
 	select {
@@ -46,43 +46,44 @@
 	return len(line), nil
 }
 
-// run writes what waits.
+// run writes queued lines to the stream.
 func (w *Writer) run() {
 	for range w.wake {
-		for lines := w.take(); len(lines) > 0; lines = w.take() {
+		for lines := w.takeBuffered(); len(lines) > 0; lines = w.takeBuffered() {
 			if _, err := w.out.Write(lines); err != nil {
-				w.lost()
+				w.countFailedWrite()
 			}
 		}
 	}
 }
 
-// take takes what waits; with nothing to take, the goroutine is not busy any more.
-func (w *Writer) take() []byte {
+// takeBuffered returns the queued lines and empties the queue, with a warning if lines were dropped. It clears writing if
+// there are none.
+func (w *Writer) takeBuffered() []byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	lines := w.lines
-	w.lines = nil
+	lines := w.buffered
+	w.buffered = nil
 	if w.dropped > 0 && len(lines) > 0 {
 		lines = fmt.Appendf(lines, "level=WARN msg=\"log lines were lost\" lines=%d\n", w.dropped)
 		w.dropped = 0
 	}
-	w.busy = len(lines) > 0
+	w.writing = len(lines) > 0
 	return lines
 }
 
-// lost counts a write that the stream did not take whole.
-func (w *Writer) lost() {
+// countFailedWrite counts a write that the stream did not accept in full.
+func (w *Writer) countFailedWrite() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.dropped++
 }
 
-// Flush waits until all is written, or for so long.
-func (w *Writer) Flush(most time.Duration) {
-	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(time.Millisecond) {
+// Flush waits until all lines are written, but no longer than timeout.
+func (w *Writer) Flush(timeout time.Duration) {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		w.mu.Lock()
-		done := len(w.lines) == 0 && !w.busy
+		done := len(w.buffered) == 0 && !w.writing
 		w.mu.Unlock()
 		if done {
 			return
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -9,48 +9,50 @@
 	"time"
 )
 
-// stream takes writes when it is let, and fails when it is told.
-type stream struct {
-	gate chan struct{}
-	mu   sync.Mutex
-	fail bool
-	got  bytes.Buffer
+// fakeStream blocks writes until unblock is closed, and fails them while fail is set.
+type fakeStream struct {
+	unblock chan struct{}
+	mu      sync.Mutex
+	fail    bool
+	written bytes.Buffer
 }
 
-func (s *stream) Write(b []byte) (int, error) {
-	<-s.gate
+func (s *fakeStream) Write(b []byte) (int, error) {
+	<-s.unblock
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.fail {
 		return 0, errors.New("no space left on device")
 	}
-	return s.got.Write(b)
+	return s.written.Write(b)
 }
 
-func (s *stream) String() string {
+func (s *fakeStream) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got.String()
+	return s.written.String()
 }
 
-const patience = 20 * time.Second
+const flushTimeout = 20 * time.Second
 
-// TestBlockedStreamHoldsNobodyUp: lines beyond what may wait are dropped and counted, and none is torn or out of order.
-func TestBlockedStreamHoldsNobodyUp(t *testing.T) {
-	s := &stream{gate: make(chan struct{})}
+// TestBlockedStreamDoesNotBlockWriters checks that lines beyond the buffer limit are dropped and counted while the stream
+// blocks, and that no line is split or out of order.
+func TestBlockedStreamDoesNotBlockWriters(t *testing.T) {
+	s := &fakeStream{unblock: make(chan struct{})}
 	w := NewWriter(s)
 	line := []byte(strings.Repeat("x", 999) + "\n")
-	for range 3 * maxBuffered / len(line) {
+	for range 3 * maxBufferedBytes / len(line) {
 		if n, err := w.Write(line); n != len(line) || err != nil {
 			t.Fatalf("wrote %d: %v", n, err)
 		}
 	}
-	close(s.gate)
-	w.Flush(patience)
+	close(s.unblock)
+	w.Flush(flushTimeout)
 	_, _ = w.Write([]byte("last\n"))
-	w.Flush(patience)
+	w.Flush(flushTimeout)
 	lines := strings.Split(s.String(), "\n")
-	if !strings.Contains(s.String(), "log lines were lost") || !strings.HasSuffix(s.String(), "last\n") && !strings.Contains(s.String(), "last\nlevel=WARN") {
+	if !strings.Contains(s.String(), "log lines were lost") ||
+		!strings.HasSuffix(s.String(), "last\n") && !strings.Contains(s.String(), "last\nlevel=WARN") {
 		t.Errorf("the stream ends with %q", lines[max(0, len(lines)-4):])
 	}
 	for _, got := range lines {
@@ -60,21 +62,23 @@
 	}
 }
 
-// TestBrokenStreamIsNoError: a stream that fails costs its lines; later ones are written, with the count of what was lost.
-func TestBrokenStreamIsNoError(t *testing.T) {
-	s := &stream{gate: make(chan struct{}), fail: true}
-	close(s.gate)
+// TestFailingStreamCausesNoWriteError checks that a failing stream loses its lines without an error to the caller, and that
+// later lines are written with a report of the loss.
+func TestFailingStreamCausesNoWriteError(t *testing.T) {
+	s := &fakeStream{unblock: make(chan struct{}), fail: true}
+	close(s.unblock)
 	w := NewWriter(s)
 	if _, err := w.Write([]byte("lost\n")); err != nil {
 		t.Fatal(err)
 	}
-	w.Flush(patience)
+	w.Flush(flushTimeout)
 	s.mu.Lock()
 	s.fail = false
 	s.mu.Unlock()
 	_, _ = w.Write([]byte("kept\n"))
-	w.Flush(patience)
-	if got := s.String(); strings.Contains(got, "lost\n") || !strings.Contains(got, "kept\n") || !strings.Contains(got, "log lines were lost") {
+	w.Flush(flushTimeout)
+	if got := s.String(); strings.Contains(got, "lost\n") || !strings.Contains(got, "kept\n") ||
+		!strings.Contains(got, "log lines were lost") {
 		t.Errorf("written: %q", got)
 	}
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics counts what one pooler does and what goes wrong in it. A Set belongs to one pooler; it is logged as a
-// structured line while its counts change, and once more at the end. The package never decides anything.
+// Package metrics counts the operations and errors of one pooler. The pooler logs its Set as a structured line while the
+// counts change, and once more at the end. The package makes no decisions.
 package metrics
 
 import (
@@ -10,29 +10,29 @@
 // Family names a group of counters.
 type Family string
 
-// The families. The key within a family is given in brackets.
+// The families. The keys within a family are given in brackets.
 const (
-	Requests       Family = "requests"        // requests by how they ended [served, refused, failed, gone]
-	Attempts       Family = "attempts"        // attempts at servers by result [ok, reset, ...]
-	Connections    Family = "connections"     // connections that were begun [accepted, dialled]
-	Closed         Family = "closed"          // connections by the part that held them and why they ended [front.idle, ...]
-	SyscallErrors  Family = "syscall_errors"  // failed system calls [accept4.EMFILE, ...]
-	States         Family = "states"          // states of the process that were entered [serving, draining, ...]
-	DiscoveryCalls Family = "discovery_calls" // calls to discovery by end [ok, failed]
-	Violations     Family = "violations"      // broken invariants [by the name of the invariant]
+	Requests       Family = "requests"        // ended requests by outcome [served, refused, failed, gone]
+	Attempts       Family = "attempts"        // ended attempts by result [ok, reset, ...]
+	Connections    Family = "connections"     // connections by origin [accepted, dialled]
+	Closed         Family = "closed"          // closed connections by owner and reason [front.idle, ...]
+	SyscallErrors  Family = "syscall_errors"  // failed system calls by call and error [accept4.EMFILE, ...]
+	States         Family = "states"          // entered states of the process [serving, draining, ...]
+	DiscoveryCalls Family = "discovery_calls" // ended discovery calls [listed, failed]
+	Violations     Family = "violations"      // violated invariants [names of package invariant's rules]
 )
 
 var families = []Family{Requests, Attempts, Connections, Closed, SyscallErrors, States, DiscoveryCalls, Violations}
 
-// Set is the counters of one pooler. Its methods may be called from any goroutine.
+// Set holds the counters of one pooler. Its methods may be called from any goroutine, except for Log.
 type Set struct {
-	counters map[Family]*expvar.Map
-	logged   map[Family]string // as they were logged last
+	counters   map[Family]*expvar.Map
+	lastLogged map[Family]string // text of each family in the last line
 }
 
-// New makes a Set in which every counter is 0.
+// New returns a Set in which every counter is 0.
 func New() *Set {
-	s := &Set{counters: map[Family]*expvar.Map{}, logged: map[Family]string{}}
+	s := &Set{counters: map[Family]*expvar.Map{}, lastLogged: map[Family]string{}}
 	for _, f := range families {
 		s.counters[f] = new(expvar.Map).Init()
 	}
@@ -42,7 +42,7 @@
 // Add counts one event.
 func (s *Set) Add(f Family, key string) { s.counters[f].Add(key, 1) }
 
-// Value is one counter's value.
+// Value returns the value of a counter.
 func (s *Set) Value(f Family, key string) int64 {
 	if v, ok := s.counters[f].Get(key).(*expvar.Int); ok {
 		return v.Value()
@@ -50,7 +50,7 @@
 	return 0
 }
 
-// Sum is the sum over a family.
+// Sum returns the sum of a family's counters.
 func (s *Set) Sum(f Family) int64 {
 	var sum int64
 	s.counters[f].Do(func(kv expvar.KeyValue) {
@@ -61,8 +61,8 @@
 	return sum
 }
 
-// Log writes the families that are not empty as one line, each as a JSON object, unless nothing has changed since the
-// last one. It is for one goroutine at a time.
+// Log writes the families that are not empty as one log line, each as a JSON object, unless nothing has changed since the
+// last line. It must not be called concurrently.
 func (s *Set) Log(log *slog.Logger) {
 	var attrs []any
 	changed := false
@@ -71,8 +71,8 @@
 		if text == "{}" {
 			continue
 		}
-		changed = changed || text != s.logged[f]
-		s.logged[f] = text
+		changed = changed || text != s.lastLogged[f]
+		s.lastLogged[f] = text
 		attrs = append(attrs, string(f), text)
 	}
 	if changed {
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestSet: counters add up by family and key, and a line is logged only when something has changed.
+// TestSet checks that counters add up by family and key, and that a line is logged only when a counter has changed.
 func TestSet(t *testing.T) {
 	s := New()
 	s.Add(SyscallErrors, "accept4.EMFILE")
