--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -27,7 +27,7 @@
 	answered   bool    // it has its final answer
 	firstRunAt float64 // when the first attempt that may have run was written, 0 if there is none
 
-	// These fields are only used for the log line of recordEnd.
+	// recordEnd logs these fields.
 	class, group int
 	arrivedAt    float64
 	retry        bool
