--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,5 +1,5 @@
-// Package front takes requests from clients. What is protocol stays here; what a request needs in order
-// to be decided on is in Request, so that another protocol's front goes through the same decisions.
+// Package front accepts requests from clients. Protocol details stay in this package. Request holds all that routing decisions
+// need, so that a front end for another protocol is subject to the same decisions.
 package front
 
 import (
@@ -7,29 +7,30 @@
 	"beechgrade/internal/slots"
 )
 
-// Request is what a client asks, in no protocol's form.
+// Request is a client's request, independent of the protocol.
 type Request struct {
-	ID          string // no two open requests have the same
+	ID          string // unique among open requests
 	Class       string
 	Group       int
 	Session     string
-	Deadline    float64 // on the loop's clock, in milliseconds: the client gives up at this time
-	MinPosition float64 // on the loop's clock: the read needs data at least this recent, 0 for no such need
+	Deadline    float64 // on the loop's clock, in milliseconds: the time at which the client gives up
+	MinPosition float64 // on the loop's clock, in milliseconds: the read needs data at least this recent; 0 for any
 	Retry       bool
-	IsWrite     bool // its statement changes data
+	IsWrite     bool // the statement changes data
 	Query       backend.Query
 }
 
-// Client is told the one final answer to its request.
+// Client receives the one final answer to its request.
 type Client interface {
 	Served(answer []byte)    // valid during the call
-	Refused(retryMs float64) // trying again is harmless, after so long where that is not 0
-	Failed()                 // nothing is promised
-	Connected() bool         // reports whether the client is still connected, asking the system if the loop was held up
+	Refused(retryMs float64) // a retry is safe; the client should wait for retryMs, unless that is 0
+	Failed()                 // the request may or may not have had an effect
+	Connected() bool         // reports whether the client is still connected; asks the system if the loop was paused
 }
 
-// RequestHandler accepts requests. Submit may answer before it returns; the Ref that it returns is then no longer valid.
+// RequestHandler accepts requests. Submit may answer the client before it returns; the returned Ref is
+// then no longer valid.
 type RequestHandler interface {
 	Submit(q Request, c Client) (slots.Ref, error)
-	Abandon(ref slots.Ref, why string) // the client has gone, or this side has closed its connection
+	Abandon(ref slots.Ref, why string) // the client has disconnected, or this side has closed its connection
 }
--- a/internal/front/postgres.go
+++ b/internal/front/postgres.go
@@ -15,47 +15,54 @@
 )
 
 const (
-	maxMessage = 1 << 18 // a value of 64 KiB in hex, twice over
-	maxAhead   = 1 << 19 // bytes a client may send ahead of what is taken of them
-	maxQueue   = 16      // commands of one client that are taken and not answered
-	maxUnsent  = 1 << 16 // of answers a client has not read: with more, its next command waits
-	recheckMs  = 20
-	keepOut    = 1 << 14 // of a buffer, from one answer to the next
+	// maxMessageBytes is the maximum length of a client's message: twice the length of a 64 KiB value in hex.
+	maxMessageBytes = 1 << 18
+	// maxReadAheadBytes is the number of bytes that a client may send before they are processed.
+	maxReadAheadBytes = 1 << 19
+	// maxQueuedCommands is the number of unanswered commands that are accepted from one client.
+	maxQueuedCommands = 16
+	// maxUnsentBytes is the number of unsent answer bytes above which the client's next command waits.
+	maxUnsentBytes = 1 << 16
+	// unsentRecheckMs is the time until the unsent bytes of such a client are checked again, in milliseconds.
+	unsentRecheckMs = 20
+	// maxKeptBufferBytes is the capacity up to which a session keeps its buffer from one answer to the next.
+	maxKeptBufferBytes = 1 << 14
 )
 
 // SQLSTATE codes.
 const (
-	codeProtocol    = "08P01"
-	codeRefused     = "53300"
-	codeFailed      = "58000"
-	codeSyntax      = "42601"
-	codeUnsupported = "0A000"
+	codeProtocol    = "08P01" // protocol_violation
+	codeRefused     = "53300" // too_many_connections
+	codeFailed      = "58000" // system_error
+	codeSyntax      = "42601" // syntax_error
+	codeUnsupported = "0A000" // feature_not_supported
 )
 
-// Postgres is the front that speaks PostgreSQL's protocol.
+// Postgres is the front end for the PostgreSQL protocol.
 type Postgres struct {
-	loop     *loop.Loop
-	log      *slog.Logger
-	desk     RequestHandler
-	budget   Budget
-	guard    *invariant.Guard
-	sessions slots.Table[*session]
-	crowd    [uses]list.List // of sessions, by use; those of longest standing first
-	draining bool
-	over     bool // the program ends
-	held     int  // bytes that clients have sent, or are yet to have, and that wait here...
-	heldOpen int  // ...of them, those of requests that have no answer yet
-	turned   int  // clients turned away since the last sweep
+	loop             *loop.Loop
+	log              *slog.Logger
+	handler          RequestHandler
+	budget           Budget
+	guard            *invariant.Guard
+	sessions         slots.Table[*session]
+	sessionsByState  [clientStateCount]list.List // in each list, the session that has been in the state for longest comes first
+	draining         bool
+	shuttingDown     bool // all connections are closed, and no more requests are accepted
+	heldBytes        int  // unprocessed input, queued commands and answers, and unsent bytes of all clients
+	openRequestBytes int  // the part of heldBytes that belongs to requests without an answer
+	rejected         int  // clients rejected since the last sweep
 }
 
-// NewPostgres makes a front whose steps the guard checks.
-func NewPostgres(l *loop.Loop, log *slog.Logger, desk RequestHandler, guard *invariant.Guard, budget Budget) *Postgres {
-	return &Postgres{loop: l, log: log, desk: desk, guard: guard, budget: budget}
+// NewPostgres returns a front end that passes requests to handler. The guard checks that no connection is closed with requests
+// unanswered.
+func NewPostgres(l *loop.Loop, log *slog.Logger, handler RequestHandler, guard *invariant.Guard, budget Budget) *Postgres {
+	return &Postgres{loop: l, log: log, handler: handler, guard: guard, budget: budget}
 }
 
 // NewHandler returns the handler of a new connection.
 func (p *Postgres) NewHandler() loop.Handler {
-	s := &session{front: p, in: pgwire.NewReader(maxMessage), since: p.loop.Now()}
+	s := &session{front: p, reader: pgwire.NewReader(maxMessageBytes), stateSince: p.loop.Now()}
 	s.ref = p.sessions.Put(s)
 	return s
 }
@@ -63,140 +70,142 @@
 // SessionCount returns the number of connected clients.
 func (p *Postgres) SessionCount() int { return p.sessions.Len() }
 
-// HasPendingWork reports whether a client waits for an answer, has not read all of one, or has sent input that has not been
-// read yet and may be a request.
+// HasPendingWork reports whether a client waits for an answer, has not read all of an answer, or has sent input that has not
+// been read yet and may be a request.
 func (p *Postgres) HasPendingWork() bool {
-	owes := false
+	pending := false
 	p.sessions.Each(func(_ slots.Ref, s *session) {
-		owes = owes || len(s.queue) > 0 || s.conn != nil && (s.conn.UnsentBytes() > 0 || !s.ended && !s.conn.NoPendingInput())
+		pending = pending || len(s.commands) > 0 || s.conn != nil &&
+			(s.conn.UnsentBytes() > 0 || !s.ended && !s.conn.NoPendingInput())
 	})
-	return owes
+	return pending
 }
 
 // PendingRequests returns the number of requests that have no answer yet.
 func (p *Postgres) PendingRequests() int {
 	n := 0
-	p.sessions.Each(func(_ slots.Ref, s *session) { n += s.owed() })
+	p.sessions.Each(func(_ slots.Ref, s *session) { n += s.openRequests() })
 	return n
 }
 
-// CloseAll closes all connections and accepts no more requests: a request that is read while the program ends would be
-// forwarded, and nobody would be there to pass on its answer.
+// CloseAll closes all connections and accepts no more requests: a request that is read while the process ends would be
+// forwarded, but its answer could not be delivered.
 func (p *Postgres) CloseAll() {
-	p.over = true
+	p.shuttingDown = true
 	p.sessions.Each(func(_ slots.Ref, s *session) {
 		if s.conn != nil {
-			s.close(closeEnd)
+			s.close(closeShutdown)
 		}
 	})
 }
 
-// Drain closes clients' connections as they fall idle, from now on.
+// Drain closes clients' connections from now on as they become idle.
 func (p *Postgres) Drain() {
 	p.draining = true
 	p.sessions.Each(func(_ slots.Ref, s *session) {
-		if s.started && s.idle() && s.conn.NoPendingInput() { // one that has just come is about to ask
+		if s.started && s.idle() && s.conn.NoPendingInput() { // a client that is still starting up is about to send a request
 			s.close(closeDrain)
 		}
 	})
 }
 
-// session is a client's connection; it is the loop's Handler.
+// session is a client's connection. It implements loop.Handler.
 type session struct {
-	front   *Postgres
-	ref     slots.Ref
-	conn    *loop.Conn
-	in      pgwire.Reader
-	arrived arrivals // of what is in in
-	queue   []*answer
-	started bool
-	asked   bool // it has put a request at least once
-	skip    bool // after an error in the extended protocol, up to Sync
-	ended   bool // nothing more is taken from it
-	leaving bool // it has had its last word
-	closed  bool
-	recheck *deadline.Timer
-	out     []byte
-	since   float64 // accepted, idle, in the midst of a message, or leaving: since then
-	stuck   float64 // it has not read all of its answers since then, 0 for not so
-	held    int     // its part of the front's...
-	open    int     // ...and of those of open requests
-	dropped int     // bytes that came after its end
-	use     use
-	at      *list.Element // in the crowd
+	front            *Postgres
+	ref              slots.Ref
+	conn             *loop.Conn
+	reader           pgwire.Reader
+	arrivals         arrivals // arrival times of the bytes in reader
+	commands         []*command
+	started          bool
+	hasRequested     bool // at least one request was accepted
+	skipUntilSync    bool // after an error in the extended protocol, messages are skipped up to Sync
+	ended            bool // no more commands are accepted
+	halfClosed       bool // the final message is sent and the sending direction is closed
+	closed           bool
+	processTimer     *deadline.Timer // calls processCommands
+	buf              []byte          // reused to build messages
+	stateSince       float64         // when the client connected, started up, was answered, began a message or was half-closed
+	sendStalledSince float64         // since when there have been unsent bytes at each sweep, 0 if there are none
+	heldBytes        int             // the session's part of Postgres.heldBytes
+	openRequestBytes int             // the session's part of Postgres.openRequestBytes
+	discardedBytes   int             // bytes received after ended was set
+	state            clientState     // as of the last updateState
+	listElement      *list.Element   // in Postgres.sessionsByState
 }
 
-// owed is the number of its requests that have no answer yet.
-func (s *session) owed() int {
+// openRequests returns the number of the session's requests that have no answer yet.
+func (s *session) openRequests() int {
 	n := 0
-	for _, a := range s.queue {
-		if a.open {
+	for _, c := range s.commands {
+		if c.open {
 			n++
 		}
 	}
 	return n
 }
 
-// close is the one way in which this side closes a client's connection. It is not closed while it is owed an answer, unless the client
-// itself is the reason, or the program ends.
-func (s *session) close(why loop.Reason) {
-	forced := why == closeStuck || why == closeMemory || why == closeProtocol
-	if !s.front.guard.CheckClose(string(why), s.owed(), forced) && why != closeEnd {
+// close closes the connection; this side closes clients' connections only here. It does nothing while requests are unanswered,
+// unless the client itself is the reason or the process ends.
+func (s *session) close(reason loop.Reason) {
+	clientAtFault := reason == closeSendStalled || reason == closeMemory || reason == closeProtocol
+	if !s.front.guard.CheckClose(string(reason), s.openRequests(), clientAtFault) && reason != closeShutdown {
 		return
 	}
-	s.conn.Close(why)
+	s.conn.Close(reason)
 }
 
 func (s *session) idle() bool {
-	return !s.closed && !s.ended && s.conn != nil && len(s.queue) == 0 && s.in.Buffered() == 0 && s.conn.UnsentBytes() == 0
+	return !s.closed && !s.ended && s.conn != nil && len(s.commands) == 0 &&
+		s.reader.Buffered() == 0 && s.conn.UnsentBytes() == 0
 }
 
-// Opened is loop's.
+// Opened implements loop.Handler.
 func (s *session) Opened(c *loop.Conn) {
 	s.conn = c
-	if s.front.over {
-		s.close(closeEnd)
+	if s.front.shuttingDown {
+		s.close(closeShutdown)
 		return
 	}
 	if !s.front.admit(s) {
-		// By then those that rest have made room.
-		s.fatalUntil(codeRefused, "too many clients", min(restMs, s.front.budget.MaxRetryAfterMs))
+		// After manyClientsIdleMs, idle clients can be evicted.
+		s.fatalWithRetry(codeRefused, "too many clients", min(manyClientsIdleMs, s.front.budget.MaxRetryAfterMs))
 	}
-	s.place()
+	s.updateState()
 }
 
-// Data is loop's.
+// Data implements loop.Handler.
 func (s *session) Data(b []byte) {
 	if s.ended {
-		if s.dropped += len(b); s.dropped > maxDropped && s.leaving {
+		if s.discardedBytes += len(b); s.discardedBytes > maxDiscardedBytes && s.halfClosed {
 			s.close(closeProtocol)
 		}
 		return
 	}
 	now := s.front.loop.Now()
-	came := min(now, s.conn.EarliestArrival())
-	if s.started && len(s.queue) == 0 && s.in.Buffered() == 0 {
-		s.since = now
+	arrivedAt := min(now, s.conn.EarliestArrival())
+	if s.started && len(s.commands) == 0 && s.reader.Buffered() == 0 {
+		s.stateSince = now
 	}
-	s.in.Feed(b)
-	s.arrived.add(len(b), came)
-	s.proceed()
-	if !s.closed && s.in.Buffered() > maxAhead {
+	s.reader.Feed(b)
+	s.arrivals.add(len(b), arrivedAt)
+	s.processCommands()
+	if !s.closed && s.reader.Buffered() > maxReadAheadBytes {
 		s.fatal(codeProtocol, "too much sent ahead of the answers")
 	}
-	s.front.bound()
+	s.front.enforceMemoryLimit()
 }
 
-// proceed takes the commands that are there. A command does not wait for the answers to those before it, but its
-// own answer does.
-func (s *session) proceed() {
-	defer s.place()
-	for !s.closed && !s.ended && len(s.queue) < maxQueue {
-		if s.started && s.conn.UnsentBytes() > maxUnsent {
-			s.later(recheckMs) // it does not read its answers
+// processCommands processes the commands that have been received. A command does not wait for the answers to earlier commands,
+// but its own answer does.
+func (s *session) processCommands() {
+	defer s.updateState()
+	for !s.closed && !s.ended && len(s.commands) < maxQueuedCommands {
+		if s.started && s.conn.UnsentBytes() > maxUnsentBytes {
+			s.processAfter(unsentRecheckMs) // the client does not read its answers
 			return
 		}
-		more, err := s.step()
+		more, err := s.processCommand()
 		if err != nil {
 			s.fatal(codeProtocol, err.Error())
 			return
@@ -210,154 +219,156 @@
 	}
 }
 
-func (s *session) later(ms float64) {
+// processAfter schedules a call of processCommands and cancels the one scheduled before.
+func (s *session) processAfter(ms float64) {
 	l := s.front.loop
-	l.StopTimer(s.recheck)
-	s.recheck = l.At(l.Now()+ms, s.proceed)
+	l.StopTimer(s.processTimer)
+	s.processTimer = l.At(l.Now()+ms, s.processCommands)
 }
 
-func (s *session) step() (more bool, err error) {
+// processCommand processes the next message, and returns false if there is no complete one.
+func (s *session) processCommand() (more bool, err error) {
 	if !s.started {
-		return s.startup()
+		return s.processStartup()
 	}
-	// By its first byte, as the rest of what is no message may be long in coming.
-	if typ, ok := s.in.NextType(); ok && !strings.ContainsRune("QXSPBDECHF", rune(typ)) {
+	// The type is checked as soon as its byte is there: input that is no message may never become complete.
+	if typ, ok := s.reader.NextType(); ok && !strings.ContainsRune("QXSPBDECHF", rune(typ)) {
 		return false, fmt.Errorf("%w: type %q", pgwire.ErrMalformed, typ)
 	}
-	m, ok, err := s.in.Next()
+	m, ok, err := s.reader.Next()
 	if err != nil || !ok {
 		return false, err
 	}
-	at := s.arrived.take(len(m.Raw))
+	arrivedAt := s.arrivals.consume(len(m.Raw))
 	switch m.Type {
 	case 'Q':
 		sql, err := pgwire.ParseText(m.Body)
 		if err != nil {
 			return false, err
 		}
-		s.query(sql, at)
+		s.processQuery(sql, arrivedAt)
 	case 'X':
 		s.end(nil)
 	case 'S': // Sync
-		s.skip = false
-		s.answer(pgwire.AppendReady(s.out[:0]))
-	default: // of the extended protocol
-		if s.skip {
+		s.skipUntilSync = false
+		s.respond(pgwire.AppendReady(s.buf[:0]))
+	default: // the extended protocol
+		if s.skipUntilSync {
 			break
 		}
-		s.skip = m.Type != 'F'
-		s.out = pgwire.AppendError(s.out[:0], "ERROR", codeUnsupported, "only simple queries are taken", "")
+		s.skipUntilSync = m.Type != 'F'
+		s.buf = pgwire.AppendError(s.buf[:0], "ERROR", codeUnsupported, "only simple queries are taken", "")
 		if m.Type == 'F' {
-			s.out = pgwire.AppendReady(s.out)
+			s.buf = pgwire.AppendReady(s.buf)
 		}
-		s.answer(s.out)
+		s.respond(s.buf)
 	}
 	return true, nil
 }
 
-func (s *session) startup() (bool, error) {
-	before := s.in.Buffered()
-	kind, ok, err := s.in.Startup()
+func (s *session) processStartup() (bool, error) {
+	buffered := s.reader.Buffered()
+	kind, ok, err := s.reader.Startup()
 	if err != nil || !ok {
 		return false, err
 	}
-	s.arrived.take(before - s.in.Buffered())
+	s.arrivals.consume(buffered - s.reader.Buffered())
 	switch kind {
 	case pgwire.StartupEncrypt:
 		s.send([]byte{'N'})
 	case pgwire.StartupCancel:
 		s.close(closeCancel)
 	default:
-		s.started, s.since = true, s.front.loop.Now()
-		s.send(pgwire.AppendStartupReply(s.out[:0]))
+		s.started, s.stateSince = true, s.front.loop.Now()
+		s.send(pgwire.AppendStartupReply(s.buf[:0]))
 	}
 	return true, nil
 }
 
-// query handles one statement, whose last byte came at the given time.
-func (s *session) query(sql string, at float64) {
-	word, _, _ := strings.Cut(strings.TrimLeft(strings.TrimRight(sql, "; \t\r\n"), " \t\r\n"), " ")
-	switch strings.ToUpper(word) {
+// processQuery processes one statement, whose last byte arrived at the given time.
+func (s *session) processQuery(sql string, arrivedAt float64) {
+	keyword, _, _ := strings.Cut(strings.TrimLeft(strings.TrimRight(sql, "; \t\r\n"), " \t\r\n"), " ")
+	switch strings.ToUpper(keyword) {
 	case "":
-		s.answer(pgwire.AppendReady(pgwire.AppendEmpty(s.out[:0])))
+		s.respond(pgwire.AppendReady(pgwire.AppendEmpty(s.buf[:0])))
 		return
-	case "SET", "RESET", "DISCARD": // without effect, as at the servers
-		s.answer(pgwire.AppendReady(pgwire.AppendComplete(s.out[:0], strings.ToUpper(word))))
+	case "SET", "RESET", "DISCARD": // these have no effect, as on the servers
+		s.respond(pgwire.AppendReady(pgwire.AppendComplete(s.buf[:0], strings.ToUpper(keyword))))
 		return
 	}
-	st, err := pgwire.ParseStatement(sql)
+	stmt, err := pgwire.ParseStatement(sql)
 	if err != nil {
-		s.answerError(codeSyntax, err)
+		s.respondError(codeSyntax, err)
 		return
 	}
-	q := Request{ID: st.ID, Class: st.Class, IsWrite: st.IsWrite, Group: st.Group, Session: st.SessionKey,
-		Deadline: at + st.TimeoutMs, Retry: st.Retry, Query: &st}
-	if st.AfterMs > 0 {
-		q.MinPosition = clock.FromUnix(st.AfterMs)
+	request := Request{ID: stmt.ID, Class: stmt.Class, IsWrite: stmt.IsWrite, Group: stmt.Group, Session: stmt.SessionKey,
+		Deadline: arrivedAt + stmt.TimeoutMs, Retry: stmt.Retry, Query: &stmt}
+	if stmt.AfterMs > 0 {
+		request.MinPosition = clock.FromUnix(stmt.AfterMs)
 	}
-	a := s.begin(len(sql))
-	a.open = true
-	if s.count(); s.front.full() {
-		a.Refused(min(restMs, s.front.budget.MaxRetryAfterMs))
+	cmd := s.enqueue(len(sql))
+	cmd.open = true
+	if s.updateHeldBytes(); s.front.openRequestsExceedMemory() {
+		cmd.Refused(min(manyClientsIdleMs, s.front.budget.MaxRetryAfterMs))
 		return
 	}
-	ref, err := s.front.desk.Submit(q, a)
+	ref, err := s.front.handler.Submit(request, cmd)
 	switch {
 	case err != nil:
-		a.open = false
-		a.finish(pgwire.AppendReady(pgwire.AppendError(s.out[:0], "ERROR", codeSyntax, err.Error(), "")))
-	case s.closed: // by what the request led to, before it had a name here
-		s.front.desk.Abandon(ref, s.conn.CloseReason())
-	case a.open:
-		a.ref = ref
+		cmd.open = false
+		cmd.respond(pgwire.AppendReady(pgwire.AppendError(s.buf[:0], "ERROR", codeSyntax, err.Error(), "")))
+	case s.closed: // during Submit, before abandonRequests could know ref
+		s.front.handler.Abandon(ref, s.conn.CloseReason())
+	case cmd.open:
+		cmd.ref = ref
 	}
-	s.asked = s.asked || err == nil
+	s.hasRequested = s.hasRequested || err == nil
 }
 
-func (s *session) send(b []byte) {
-	if s.out = b; cap(b) > keepOut {
-		s.out = nil
+func (s *session) send(message []byte) {
+	if s.buf = message; cap(message) > maxKeptBufferBytes {
+		s.buf = nil
 	}
-	if !s.closed && len(b) > 0 {
-		_ = s.conn.Write(b) // a failed write closes the connection
+	if !s.closed && len(message) > 0 {
+		_ = s.conn.Write(message) // a failed write closes the connection
 	}
 }
 
-// answer answers a command that is no request.
-func (s *session) answer(b []byte) { s.begin(0).finish(b) }
+// respond answers a command that is not a request.
+func (s *session) respond(response []byte) { s.enqueue(0).respond(response) }
 
-func (s *session) answerError(code string, err error) {
-	s.answer(pgwire.AppendReady(pgwire.AppendError(s.out[:0], "ERROR", code, err.Error(), "")))
+func (s *session) respondError(code string, err error) {
+	s.respond(pgwire.AppendReady(pgwire.AppendError(s.buf[:0], "ERROR", code, err.Error(), "")))
 }
 
-// fatal ends the connection with a word.
-func (s *session) fatal(code, text string) { s.fatalUntil(code, text, 0) }
+// fatal ends the session with an error message.
+func (s *session) fatal(code, text string) { s.fatalWithRetry(code, text, 0) }
 
-// fatalUntil is fatal, with advice when to come back where that is not 0.
-func (s *session) fatalUntil(code, text string, retryMs float64) {
+// fatalWithRetry is like fatal. Unless retryMs is 0, the error advises the client to reconnect after that time.
+func (s *session) fatalWithRetry(code, text string, retryMs float64) {
 	if !s.closed && !s.ended {
-		s.end(pgwire.AppendError(s.out[:0], "FATAL", code, text, retryDetail(retryMs)))
+		s.end(pgwire.AppendError(s.buf[:0], "FATAL", code, text, retryDetail(retryMs)))
 	}
 }
 
-// end takes no more commands, and ends the connection once those taken are answered, with a last word.
-func (s *session) end(word []byte) {
+// end stops accepting commands. Once the accepted ones are answered, it sends finalMessage and ends the connection.
+func (s *session) end(finalMessage []byte) {
 	s.ended = true
-	s.in.Reset()
-	s.arrived = arrivals{}
-	a := s.begin(0)
-	a.last = true
-	a.finish(word)
+	s.reader.Reset()
+	s.arrivals = arrivals{}
+	cmd := s.enqueue(0)
+	cmd.endsSession = true
+	cmd.respond(finalMessage)
 }
 
-// Closed is loop's.
+// Closed implements loop.Handler.
 func (s *session) Closed(error) {
 	if s.closed {
 		return
 	}
 	s.closed = true
 	s.front.sessions.Delete(s.ref)
-	s.front.loop.StopTimer(s.recheck)
-	s.place()
-	s.abandon()
+	s.front.loop.StopTimer(s.processTimer)
+	s.updateState()
+	s.abandonRequests()
 }
--- a/internal/front/postgres_test.go
+++ b/internal/front/postgres_test.go
@@ -13,39 +13,39 @@
 	"beechgrade/internal/slots"
 )
 
-// desk is a RequestHandler that does what a test says.
-type desk struct {
-	ask  func(Request, Client) (slots.Ref, error)
-	gone func(slots.Ref)
+// stubHandler is a RequestHandler that calls the given functions.
+type stubHandler struct {
+	submit  func(Request, Client) (slots.Ref, error)
+	abandon func(slots.Ref)
 }
 
-func (d desk) Submit(q Request, c Client) (slots.Ref, error) { return d.ask(q, c) }
-func (d desk) Abandon(ref slots.Ref, _ string)               { d.gone(ref) }
+func (h stubHandler) Submit(q Request, c Client) (slots.Ref, error) { return h.submit(q, c) }
+func (h stubHandler) Abandon(ref slots.Ref, _ string)               { h.abandon(ref) }
 
-// TestClosedWhileItAsks: a client's connection breaks at the answer to an earlier command, which the very request that it puts
-// has brought about, so that the request has no name at its session yet. It is told as gone all the same, or it would be
-// sent on for nobody.
-func TestClosedWhileItAsks(t *testing.T) {
+// TestClientClosedDuringSubmit guards against forwarding the request of a client that is gone. Submit of the second request answers
+// the first one, and the connection breaks as this answer is written. At that time the session does not have the second request's
+// Ref yet; the request must be abandoned nevertheless.
+func TestClientClosedDuringSubmit(t *testing.T) {
 	var p *Postgres
 	var first Client
-	named, gone := slots.Ref{Index: 7, Generation: 3}, make(chan slots.Ref, 9)
+	secondRef, abandoned := slots.Ref{Index: 7, Generation: 3}, make(chan slots.Ref, 9)
 	ready, ended := make(chan struct{}), make(chan error, 1)
 	l := loop.New(clock.System(), slog.New(slog.DiscardHandler), func() loop.Handler { return p.NewHandler() }, func() {})
-	p = NewPostgres(l, slog.New(slog.DiscardHandler), desk{
-		ask: func(_ Request, c Client) (slots.Ref, error) {
+	p = NewPostgres(l, slog.New(slog.DiscardHandler), stubHandler{
+		submit: func(_ Request, c Client) (slots.Ref, error) {
 			if first == nil {
 				first = c
 				return slots.Ref{Index: 1, Generation: 1}, nil
 			}
-			p.sessions.Each(func(_ slots.Ref, s *session) { // the write of its answer finds the connection broken
-				if s.asked {
+			p.sessions.Each(func(_ slots.Ref, s *session) { // as if writing the answer had found the connection broken
+				if s.hasRequested {
 					s.conn.Close("test")
 				}
 			})
 			first.Failed()
-			return named, nil
+			return secondRef, nil
 		},
-		gone: func(ref slots.Ref) { gone <- ref },
+		abandon: func(ref slots.Ref) { abandoned <- ref },
 	}, invariant.New(slog.New(slog.DiscardHandler), l.Metrics()), Budget{SpareDescriptors: func() int { return 9 },
 		ActiveClientLimit: func() int { return 9 }, CloseIdleServerConn: func() bool { return false },
 		MemoryBytes: func() int { return 1 << 20 }})
@@ -64,13 +64,13 @@
 	if _, err := c.Write(b); err != nil {
 		t.Fatal(err)
 	}
-	told := map[slots.Ref]bool{}
-	for end := time.After(20 * time.Second); !told[named]; {
+	received := map[slots.Ref]bool{}
+	for timeout := time.After(20 * time.Second); !received[secondRef]; {
 		select {
-		case ref := <-gone:
-			told[ref] = true
-		case <-end:
-			t.Fatalf("the request was never told as gone, only %v", told)
+		case ref := <-abandoned:
+			received[ref] = true
+		case <-timeout:
+			t.Fatalf("the second request was not abandoned, only %v", received)
 		}
 	}
 	l.Shutdown()
--- a/internal/front/queue.go
+++ b/internal/front/queue.go
@@ -8,84 +8,84 @@
 	"beechgrade/internal/slots"
 )
 
-// answer is a command's place in its session's queue: answers go out in the order of the commands. It is its
-// request's Client.
-type answer struct {
-	s    *session
-	ref  slots.Ref // of its request...
-	open bool      // ...while that is open
-	done bool
-	size int    // of its statement while it is open, then of word
-	word []byte // what waits for the answers before it
-	last bool   // the connection ends after it
+// command is an entry in a session's queue of commands, which are answered in order. If the command is a request, the entry is
+// the request's Client.
+type command struct {
+	session     *session
+	ref         slots.Ref // of its request, valid while open is set
+	open        bool      // its request has no answer yet
+	responded   bool
+	bytes       int    // length of its statement while open is set, then of response
+	response    []byte // the answer, while it waits for those to earlier commands
+	endsSession bool   // the connection ends after the response
 }
 
-// begin files a command whose statement has so many bytes.
-func (s *session) begin(size int) *answer {
-	a := &answer{s: s, size: size}
-	s.queue = append(s.queue, a)
-	return a
+// enqueue adds a command whose statement has the given length in bytes.
+func (s *session) enqueue(size int) *command {
+	c := &command{session: s, bytes: size}
+	s.commands = append(s.commands, c)
+	return c
 }
 
-// finish gives a command its answer, which is valid during the call.
-func (a *answer) finish(b []byte) {
-	s := a.s
-	if a.done || s.closed || s.leaving {
+// respond answers the command. response is valid only during the call.
+func (c *command) respond(response []byte) {
+	s := c.session
+	if c.responded || s.closed || s.halfClosed {
 		return
 	}
-	a.done, a.open = true, false
-	if s.queue[0] != a {
-		a.word = append([]byte(nil), b...)
-		a.size = len(a.word)
-		s.count()
+	c.responded, c.open = true, false
+	if s.commands[0] != c {
+		c.response = append([]byte(nil), response...)
+		c.bytes = len(c.response)
+		s.updateHeldBytes()
 		return
 	}
-	full := len(s.queue) >= maxQueue
-	s.queue = s.queue[1:]
-	s.send(b)
-	for last := a.last; !s.closed; {
-		if last {
-			s.leave()
+	queueWasFull := len(s.commands) >= maxQueuedCommands
+	s.commands = s.commands[1:]
+	s.send(response)
+	for endsSession := c.endsSession; !s.closed; {
+		if endsSession {
+			s.halfClose()
 			return
 		}
-		if len(s.queue) == 0 || !s.queue[0].done {
+		if len(s.commands) == 0 || !s.commands[0].responded {
 			break
 		}
-		next := s.queue[0]
-		s.queue = s.queue[1:]
-		s.send(next.word)
-		last = next.last
+		next := s.commands[0]
+		s.commands = s.commands[1:]
+		s.send(next.response)
+		endsSession = next.endsSession
 	}
 	if s.closed {
 		return
 	}
-	s.since = s.front.loop.Now()
-	if len(s.queue) == 0 {
-		s.queue = nil
+	s.stateSince = s.front.loop.Now()
+	if len(s.commands) == 0 {
+		s.commands = nil
 	}
-	if full && s.in.Buffered() > 0 || s.front.draining {
-		s.later(0) // off this call, so that the caller's work comes first
+	if queueWasFull && s.reader.Buffered() > 0 || s.front.draining {
+		s.processAfter(0) // in a call of its own, so that the caller finishes first
 	}
-	s.place()
-	s.front.crowd[s.use].MoveToBack(s.at)
-	s.front.thin()
+	s.updateState()
+	s.front.sessionsByState[s.state].MoveToBack(s.listElement)
+	s.front.enforceActiveLimit()
 }
 
-// Served is Client's.
-func (a *answer) Served(answer []byte) {
-	a.finish(pgwire.AppendReady(append(a.s.out[:0], answer...)))
+// Served implements Client.
+func (c *command) Served(answer []byte) {
+	c.respond(pgwire.AppendReady(append(c.session.buf[:0], answer...)))
 }
 
-// Refused is Client's.
-func (a *answer) Refused(retryMs float64) {
-	a.finish(pgwire.AppendReady(pgwire.AppendError(a.s.out[:0], "ERROR", codeRefused, "no server can take this now",
+// Refused implements Client.
+func (c *command) Refused(retryMs float64) {
+	c.respond(pgwire.AppendReady(pgwire.AppendError(c.session.buf[:0], "ERROR", codeRefused, "no server can take this now",
 		retryDetail(retryMs))))
 }
 
 // Connected implements Client.
-func (a *answer) Connected() bool { return !a.s.closed && !a.s.conn.PeerClosed() }
+func (c *command) Connected() bool { return !c.session.closed && !c.session.conn.PeerClosed() }
 
-// retryDetail is the field D of a refusal.
+// retryDetail returns the detail field of an error: the time in milliseconds after which to retry, or "" for none.
 func retryDetail(ms float64) string {
 	if ms <= 0 {
 		return ""
@@ -93,83 +93,86 @@
 	return strconv.Itoa(int(math.Ceil(ms)))
 }
 
-// Failed is Client's.
-func (a *answer) Failed() {
-	a.finish(pgwire.AppendReady(pgwire.AppendError(a.s.out[:0], "ERROR", codeFailed,
+// Failed implements Client.
+func (c *command) Failed() {
+	c.respond(pgwire.AppendReady(pgwire.AppendError(c.session.buf[:0], "ERROR", codeFailed,
 		"the request failed; it may have had an effect", "")))
 }
 
-// leave ends a connection that has had its last word. A close with input unread would be a reset, which may
-// overtake that word, so the client is given a moment to close.
-func (s *session) leave() {
-	if s.closed || s.leaving {
+// halfClose closes the sending direction of a connection whose final message was written, and gives the client
+// halfClosedTimeoutMs to close the other one. Closing a connection with unread input would reset it, and the reset may overtake
+// the message.
+func (s *session) halfClose() {
+	if s.closed || s.halfClosed {
 		return
 	}
-	if s.front.crowd[leaving].Len() >= maxLeaving || s.conn.UnsentBytes() > 0 || s.conn.CloseWrite() != nil {
-		s.close(closeLastWord)
+	if s.front.sessionsByState[stateHalfClosed].Len() >= maxHalfClosed || s.conn.UnsentBytes() > 0 || s.conn.CloseWrite() != nil {
+		s.close(closeImmediate)
 		return
 	}
-	s.ended, s.leaving, s.since = true, true, s.front.loop.Now()
-	s.front.loop.StopTimer(s.recheck)
-	s.in.Reset()
-	s.place()
-	s.abandon()
+	s.ended, s.halfClosed, s.stateSince = true, true, s.front.loop.Now()
+	s.front.loop.StopTimer(s.processTimer)
+	s.reader.Reset()
+	s.updateState()
+	s.abandonRequests()
 }
 
-// abandon ends the open requests of a client that will not have their answers.
-func (s *session) abandon() {
-	queue := s.queue
-	s.queue = nil
-	for _, a := range queue {
-		if a.open {
-			a.open = false
-			s.front.desk.Abandon(a.ref, s.conn.CloseReason())
+// abandonRequests ends the open requests of a client that cannot receive their answers any more.
+func (s *session) abandonRequests() {
+	commands := s.commands
+	s.commands = nil
+	for _, c := range commands {
+		if c.open {
+			c.open = false
+			s.front.handler.Abandon(c.ref, s.conn.CloseReason())
 		}
 	}
-	s.count()
+	s.updateHeldBytes()
 }
 
-// arrivals tells when bytes came, as a request's time counts from its last byte and it may wait for those before
-// it to be taken.
+// arrivals records when input arrived. A request's time-out runs from the arrival of its last byte, not from the time at which
+// it is processed, as it may have waited for earlier commands.
 type arrivals struct {
-	marks []arrival
-	taken int
+	entries  []arrival
+	consumed int // number of bytes removed since entries was last empty
 }
 
-// arrival says that what was fed up to this byte was there then.
+// arrival is the arrival time of the bytes before endOffset that no earlier entry covers.
 type arrival struct {
-	upTo int
-	at   float64
+	endOffset int
+	at        float64
 }
 
-const maxMarks = 64 // with more pieces than that, the later ones count as come with the one before
+// maxArrivals is the maximum number of entries. Further bytes get the arrival time of the last entry.
+const maxArrivals = 64
 
+// add records that the next n bytes arrived at the given time.
 func (r *arrivals) add(n int, at float64) {
-	if len(r.marks) == 0 {
-		r.marks, r.taken = append(r.marks, arrival{n, at}), 0
+	if len(r.entries) == 0 {
+		r.entries, r.consumed = append(r.entries, arrival{n, at}), 0
 		return
 	}
-	last := &r.marks[len(r.marks)-1]
-	if last.at == at || len(r.marks) >= maxMarks {
-		last.upTo += n
+	last := &r.entries[len(r.entries)-1]
+	if last.at == at || len(r.entries) >= maxArrivals {
+		last.endOffset += n
 		return
 	}
-	r.marks = append(r.marks, arrival{last.upTo + n, at})
+	r.entries = append(r.entries, arrival{last.endOffset + n, at})
 }
 
-// take takes the next n bytes and tells when the last of them came.
-func (r *arrivals) take(n int) float64 {
-	r.taken += n
+// consume removes the next n bytes and returns the arrival time of the last of them.
+func (r *arrivals) consume(n int) float64 {
+	r.consumed += n
 	i := 0
-	for i < len(r.marks)-1 && r.marks[i].upTo < r.taken {
+	for i < len(r.entries)-1 && r.entries[i].endOffset < r.consumed {
 		i++
 	}
-	at := r.marks[i].at
-	if r.marks[i].upTo <= r.taken {
+	at := r.entries[i].at
+	if r.entries[i].endOffset <= r.consumed {
 		i++
 	}
-	if r.marks = r.marks[i:]; len(r.marks) == 0 {
-		r.marks = nil
+	if r.entries = r.entries[i:]; len(r.entries) == 0 {
+		r.entries = nil
 	}
 	return at
 }
