--- a/internal/pgwire/answer.go
+++ b/internal/pgwire/answer.go
@@ -7,115 +7,118 @@
 )
 
 const (
-	maxValue  = 1 << 20 // of a value: the platform's protocol says 64 KiB, but its servers give more
-	maxSmall  = 8 << 10 // of any message but a row
-	maxBeside = 1 << 17 // of all messages of one answer together but the row
+	// maxValueBytes is the maximum length of a value. The protocol of the platform allows 64 KiB, but its servers send more.
+	maxValueBytes = 1 << 20
+	// maxOtherMessageBytes is the maximum length of any message other than a DataRow.
+	maxOtherMessageBytes = 8 << 10
+	// maxNonRowBytes is the maximum length of all messages of one answer together, except the DataRow.
+	maxNonRowBytes = 1 << 17
 )
 
-// MaxMessage bounds the messages of an Answer.
-const MaxMessage = maxValue + 10
+// MaxMessage is the maximum length of a message that an Answer accepts.
+const MaxMessage = maxValueBytes + 10
 
-// place is how far an answer has come.
-type place uint8
+// phase says which message of an answer is expected next, apart from errors, notices and parameters.
+type phase uint8
 
 const (
-	placeAuth     place = iota // a connection's welcome: AuthenticationOk is due
-	placeWelcome               // ...then what precedes ReadyForQuery
-	placeDescribe              // a statement's answer: RowDescription is due
-	placeData                  // ...the row
-	placeComplete              // ...CommandComplete
-	placeReady                 // ReadyForQuery
-	placeEnd
+	phaseAuth            phase = iota // AuthenticationOk, the first reply to a startup message
+	phaseStartup                      // the other replies to a startup message, up to ReadyForQuery
+	phaseRowDescription               // RowDescription, the first message of the answer to a statement
+	phaseDataRow                      // DataRow
+	phaseCommandComplete              // CommandComplete
+	phaseReady                        // ReadyForQuery
+	phaseDone                         // none: ReadyForQuery was received
 )
 
-// Answer reads what a server says up to ReadyForQuery and holds it to the one form that is good: one row of
-// one column, complete, or an error. A server that sends anything else cannot be believed in the rest.
+// Answer reads a server's messages up to ReadyForQuery. It accepts a single form of answer: one complete row of one column, or
+// an error. If a server sends anything else, the rest of its answer cannot be trusted either.
 type Answer struct {
-	place     place
-	began     bool
-	beside    int    // bytes that were no row
-	Succeeded bool   // a complete row was received, and no error
-	ErrorCode string // SQLSTATE of the error
+	phase       phase
+	received    bool
+	nonRowBytes int    // bytes of messages other than DataRow
+	Succeeded   bool   // a complete row was received, and no error
+	ErrorCode   string // SQLSTATE of the error
 }
 
-// NewStartupAnswer returns the Answer that is expected on a connection that has sent its startup message.
-func NewStartupAnswer() Answer { return Answer{place: placeAuth} }
+// NewStartupAnswer returns an Answer that expects the reply to a startup message.
+func NewStartupAnswer() Answer { return Answer{phase: phaseAuth} }
 
-// NewQueryAnswer returns the Answer that is expected to a statement.
-func NewQueryAnswer() Answer { return Answer{place: placeDescribe} }
+// NewQueryAnswer returns an Answer that expects the reply to a statement.
+func NewQueryAnswer() Answer { return Answer{phase: phaseRowDescription} }
 
-// Done tells whether ReadyForQuery has come.
-func (a *Answer) Done() bool { return a.place == placeEnd }
+// Done reports whether ReadyForQuery has been received.
+func (a *Answer) Done() bool { return a.phase == phaseDone }
 
 // Empty reports whether no message has been received yet.
-func (a *Answer) Empty() bool { return !a.began }
+func (a *Answer) Empty() bool { return !a.received }
 
-// Next takes the answer's next message from r. What cannot become good is an error as soon as its first
-// bytes show it: the rest might never come.
+// Next reads the answer's next message from r, and returns false if it is not complete yet. An invalid message is an error as
+// soon as its first bytes show it, as the rest may never arrive.
 func (a *Answer) Next(r *Reader) (Message, bool, error) {
-	if err := a.head(r.buf[r.off:]); err != nil {
+	if err := a.checkHeader(r.buf[r.off:]); err != nil {
 		return Message{}, false, err
 	}
 	m, ok, err := r.Next()
 	if err != nil || !ok {
 		return Message{}, false, err
 	}
-	if a.began = true; m.Type != 'D' {
-		a.beside += len(m.Raw)
+	if a.received = true; m.Type != 'D' {
+		a.nonRowBytes += len(m.Raw)
 	}
-	if a.beside > maxBeside {
-		return Message{}, false, fmt.Errorf("%w: over %d bytes beside the row", ErrMalformed, maxBeside)
+	if a.nonRowBytes > maxNonRowBytes {
+		return Message{}, false, fmt.Errorf("%w: over %d bytes beside the row", ErrMalformed, maxNonRowBytes)
 	}
-	if err := a.take(m); err != nil {
+	if err := a.accept(m); err != nil {
 		return Message{}, false, err
 	}
 	return m, true, nil
 }
 
-// due tells whether a message of this type may come now.
-func (a *Answer) due(typ byte) bool {
+// expected reports whether a message of this type may come next.
+func (a *Answer) expected(typ byte) bool {
 	switch typ {
 	case 'N', 'S':
-		return a.place != placeAuth && a.place != placeEnd
+		return a.phase != phaseAuth && a.phase != phaseDone
 	case 'E':
-		return a.place != placeReady && a.place != placeEnd
+		return a.phase != phaseReady && a.phase != phaseDone
 	case 'R':
-		return a.place == placeAuth
+		return a.phase == phaseAuth
 	case 'K':
-		return a.place == placeWelcome
+		return a.phase == phaseStartup
 	case 'T':
-		return a.place == placeDescribe
+		return a.phase == phaseRowDescription
 	case 'D':
-		return a.place == placeData
+		return a.phase == phaseDataRow
 	case 'C':
-		return a.place == placeComplete
+		return a.phase == phaseCommandComplete
 	case 'Z':
-		return a.place == placeWelcome && a.ErrorCode == "" || a.place == placeReady
+		return a.phase == phaseStartup && a.ErrorCode == "" || a.phase == phaseReady
 	}
 	return false
 }
 
-// head checks what there is of the next message.
-func (a *Answer) head(b []byte) error {
+// checkHeader checks the available bytes of the next message.
+func (a *Answer) checkHeader(b []byte) error {
 	if len(b) == 0 {
 		return nil
 	}
-	if !a.due(b[0]) {
+	if !a.expected(b[0]) {
 		return fmt.Errorf("%w: type %q is not due", ErrMalformed, b[0])
 	}
 	if len(b) < 5 {
 		return nil
 	}
-	n, most := binary.BigEndian.Uint32(b[1:]), uint32(maxSmall)
+	n, maxLen := binary.BigEndian.Uint32(b[1:]), uint32(maxOtherMessageBytes)
 	switch b[0] {
 	case 'D':
-		most = MaxMessage
+		maxLen = MaxMessage
 	case 'R':
-		most = 8
+		maxLen = 8
 	case 'Z':
-		most = 5
+		maxLen = 5
 	}
-	if n < 4 || n > most {
+	if n < 4 || n > maxLen {
 		return fmt.Errorf("%w: type %q with length %d", ErrMalformed, b[0], n)
 	}
 	if b[0] == 'D' && len(b) >= 11 {
@@ -126,50 +129,50 @@
 	return nil
 }
 
-// take checks a whole message that is due.
-func (a *Answer) take(m Message) error {
-	good := true
+// accept checks a complete message of an expected type and moves on to the next phase.
+func (a *Answer) accept(m Message) error {
+	valid := true
 	switch m.Type {
 	case 'R':
-		good = len(m.Body) == 4 && binary.BigEndian.Uint32(m.Body) == 0
-		a.place = placeWelcome
+		valid = len(m.Body) == 4 && binary.BigEndian.Uint32(m.Body) == 0
+		a.phase = phaseStartup
 	case 'S':
 		_, _, err := ParseParameter(m.Body)
-		good = err == nil
+		valid = err == nil
 	case 'K':
-		good = len(m.Body) >= 8
+		valid = len(m.Body) >= 8
 	case 'N':
-		good = fields(m.Body)
+		valid = validFields(m.Body)
 	case 'E':
 		a.ErrorCode = ErrorCode(m.Body)
-		if good = fields(m.Body) && len(a.ErrorCode) == 5; a.place != placeWelcome && a.place != placeAuth {
-			a.place = placeReady
+		if valid = validFields(m.Body) && len(a.ErrorCode) == 5; a.phase != phaseStartup && a.phase != phaseAuth {
+			a.phase = phaseReady
 		}
 	case 'T':
-		good = oneColumn(m.Body)
-		a.place = placeData
+		valid = hasOneColumn(m.Body)
+		a.phase = phaseDataRow
 	case 'D':
 		_, err := ParseColumn(m.Body)
-		good = err == nil
-		a.place = placeComplete
+		valid = err == nil
+		a.phase = phaseCommandComplete
 	case 'C':
 		_, err := ParseText(m.Body)
-		good = err == nil
-		a.place = placeReady
+		valid = err == nil
+		a.phase = phaseReady
 	case 'Z':
-		if good = string(m.Body) == "I"; good {
-			a.Succeeded = a.place == placeReady && a.ErrorCode == ""
-			a.place = placeEnd
+		if valid = string(m.Body) == "I"; valid {
+			a.Succeeded = a.phase == phaseReady && a.ErrorCode == ""
+			a.phase = phaseDone
 		}
 	}
-	if !good {
+	if !valid {
 		return fmt.Errorf("%w: body of type %q", ErrMalformed, m.Type)
 	}
 	return nil
 }
 
-// oneColumn tells whether a RowDescription's body describes one column.
-func oneColumn(body []byte) bool {
+// hasOneColumn reports whether the body of a RowDescription describes one column.
+func hasOneColumn(body []byte) bool {
 	if len(body) < 2 || binary.BigEndian.Uint16(body) != 1 {
 		return false
 	}
@@ -177,8 +180,8 @@
 	return ok && len(rest) == 18
 }
 
-// fields tells whether the body of an error or a notice is made of whole fields.
-func fields(body []byte) bool {
+// validFields reports whether the body of an error or a notice consists of complete fields.
+func validFields(body []byte) bool {
 	for len(body) > 1 {
 		_, rest, ok := bytes.Cut(body[1:], []byte{0})
 		if !ok || body[0] == 0 {
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -1,5 +1,5 @@
-// Package pgwire reads and builds messages of version 3 of PostgreSQL's protocol. Reading is
-// incremental and bounded; nothing here does I/O.
+// Package pgwire reads and builds messages of version 3 of the PostgreSQL protocol. Reading is incremental, and the length of
+// messages is limited. The package does no I/O.
 package pgwire
 
 import (
@@ -9,47 +9,47 @@
 	"fmt"
 )
 
-// Request codes that stand where a startup message has its version.
+// Codes in the first field of a startup message (the protocol version or the kind of the request), and limits.
 const (
-	ProtocolVersion = 196608
-	codeCancel      = 80877102
-	codeSSL         = 80877103
-	codeGSSEnc      = 80877104
-	maxStartupLen   = 10000 // PostgreSQL's own bound
-	keepBuf         = 1 << 14
+	ProtocolVersion    = 196608
+	codeCancel         = 80877102
+	codeSSL            = 80877103
+	codeGSSEnc         = 80877104
+	maxStartupBytes    = 10000   // the limit of PostgreSQL itself
+	maxKeptBufferBytes = 1 << 14 // capacity up to which a Reader keeps its buffer when it is empty
 )
 
-// ErrMalformed is wrapped by every error about input that breaks the protocol.
+// ErrMalformed is wrapped by every error about input that violates the protocol.
 var ErrMalformed = errors.New("malformed message")
 
 // Message is one message. Body and Raw are valid until the Reader is fed again.
 type Message struct {
 	Type byte
 	Body []byte
-	Raw  []byte // with type and length
+	Raw  []byte // the message with its type and length
 }
 
-// StartupKind says what a client opened its connection with.
+// StartupKind is the kind of a message that a client sends before its session has started.
 type StartupKind int
 
-// The kinds.
+// Kinds of startup messages.
 const (
 	StartupPlain   StartupKind = iota // a startup message
 	StartupEncrypt                    // a request for encryption: answer 'N'
-	StartupCancel                     // a request to cancel: no answer, close
+	StartupCancel                     // a cancel request: close without an answer
 )
 
-// Reader cuts a stream of bytes into messages.
+// Reader splits a stream of bytes into messages.
 type Reader struct {
 	buf []byte
 	off int
 	max int
 }
 
-// NewReader makes a reader for messages of at most max bytes.
+// NewReader returns a Reader for messages of at most max bytes.
 func NewReader(max int) Reader { return Reader{max: max} }
 
-// Feed takes over what was read. It copies b.
+// Feed appends a copy of b to the input.
 func (r *Reader) Feed(b []byte) {
 	if r.off == len(r.buf) {
 		r.buf, r.off = r.buf[:0], 0
@@ -60,7 +60,7 @@
 	r.buf = append(r.buf, b...)
 }
 
-// Buffered returns the number of bytes that were fed and not yet returned.
+// Buffered returns the number of input bytes that have not been returned in messages.
 func (r *Reader) Buffered() int { return len(r.buf) - r.off }
 
 // NextType returns the type of the next message, which is its first byte.
@@ -71,17 +71,18 @@
 	return r.buf[r.off], true
 }
 
-// Reset drops what was fed.
+// Reset discards the input.
 func (r *Reader) Reset() { r.buf, r.off = nil, 0 }
 
-// Startup returns the next message of a connection that has not started, and false if it is not whole.
+// Startup returns the kind of the next message of a connection whose session has not started, and false if the message is not
+// complete yet.
 func (r *Reader) Startup() (StartupKind, bool, error) {
 	b := r.buf[r.off:]
 	if len(b) < 8 {
 		return 0, false, nil
 	}
 	n, code := binary.BigEndian.Uint32(b), binary.BigEndian.Uint32(b[4:])
-	if n < 8 || n > maxStartupLen {
+	if n < 8 || n > maxStartupBytes {
 		return 0, false, fmt.Errorf("%w: startup of %d bytes", ErrMalformed, n)
 	}
 	if len(b) < int(n) {
@@ -99,7 +100,7 @@
 	return 0, false, fmt.Errorf("%w: protocol version %d.%d", ErrMalformed, code>>16, code&0xffff)
 }
 
-// Next returns the next message, and false if it is not whole yet.
+// Next returns the next message, and false if it is not complete yet.
 func (r *Reader) Next() (Message, bool, error) {
 	b := r.buf[r.off:]
 	if len(b) < 5 {
@@ -113,19 +114,21 @@
 		return Message{}, false, nil
 	}
 	r.off += int(n) + 1
-	if r.off == len(r.buf) && cap(r.buf) > keepBuf {
-		r.buf, r.off = nil, 0 // the message keeps it for as long as it is used
+	if r.off == len(r.buf) && cap(r.buf) > maxKeptBufferBytes {
+		r.buf, r.off = nil, 0 // only the returned message still refers to the buffer
 	}
 	return Message{Type: b[0], Body: b[5 : n+1], Raw: b[:n+1]}, true, nil
 }
 
-// begin appends a message's type and room for its length; end fills that in.
-func begin(dst []byte, typ byte) ([]byte, int) {
+// beginMessage appends a message's type and a placeholder for its length. It also returns the offset of the length, for
+// endMessage.
+func beginMessage(dst []byte, typ byte) ([]byte, int) {
 	return append(dst, typ, 0, 0, 0, 0), len(dst) + 1
 }
 
-func end(dst []byte, at int) []byte {
-	binary.BigEndian.PutUint32(dst[at:], uint32(len(dst)-at))
+// endMessage sets the length of the message that ends dst. lengthAt is the offset of the length.
+func endMessage(dst []byte, lengthAt int) []byte {
+	binary.BigEndian.PutUint32(dst[lengthAt:], uint32(len(dst)-lengthAt))
 	return dst
 }
 
@@ -133,28 +136,28 @@
 
 // AppendStartup appends a client's startup message.
 func AppendStartup(dst []byte, user, database string) []byte {
-	at := len(dst)
+	lengthAt := len(dst)
 	dst = append(dst, 0, 0, 0, 0)
 	dst = binary.BigEndian.AppendUint32(dst, ProtocolVersion)
 	for _, s := range []string{"user", user, "database", database} {
 		dst = appendStr(dst, s)
 	}
-	return end(append(dst, 0), at)
+	return endMessage(append(dst, 0), lengthAt)
 }
 
 // AppendQuery appends a simple query.
 func AppendQuery(dst []byte, sql ...string) []byte {
-	dst, at := begin(dst, 'Q')
+	dst, lengthAt := beginMessage(dst, 'Q')
 	for _, s := range sql {
 		dst = append(dst, s...)
 	}
-	return end(append(dst, 0), at)
+	return endMessage(append(dst, 0), lengthAt)
 }
 
-// AppendStartupReply appends a server's answer to a startup message, up to its ReadyForQuery.
+// AppendStartupReply appends a server's answer to a startup message, including ReadyForQuery.
 func AppendStartupReply(dst []byte) []byte {
-	dst, at := begin(dst, 'R')
-	dst = end(append(dst, 0, 0, 0, 0), at)
+	dst, lengthAt := beginMessage(dst, 'R')
+	dst = endMessage(append(dst, 0, 0, 0, 0), lengthAt)
 	for _, p := range [][2]string{{"server_version", "15.0"}, {"server_encoding", "UTF8"},
 		{"client_encoding", "UTF8"}, {"standard_conforming_strings", "on"}} {
 		dst = AppendParameter(dst, p[0], p[1])
@@ -164,30 +167,30 @@
 
 // AppendParameter appends a ParameterStatus.
 func AppendParameter(dst []byte, name, value string) []byte {
-	dst, at := begin(dst, 'S')
-	return end(appendStr(appendStr(dst, name), value), at)
+	dst, lengthAt := beginMessage(dst, 'S')
+	return endMessage(appendStr(appendStr(dst, name), value), lengthAt)
 }
 
-// oidBytea is the type of every column.
+// oidBytea is the object identifier of type bytea, which every column has.
 const oidBytea = 17
 
-// AppendRow appends the RowDescription and the DataRow of one value; nil is NULL.
+// AppendRow appends the RowDescription and the DataRow of one value. A nil value is NULL.
 func AppendRow(dst []byte, column string, value []byte) []byte {
-	dst, at := begin(dst, 'T')
+	dst, lengthAt := beginMessage(dst, 'T')
 	dst = appendStr(append(dst, 0, 1), column)
-	dst = append(dst, 0, 0, 0, 0, 0, 0) // no table
+	dst = append(dst, 0, 0, 0, 0, 0, 0) // the column belongs to no table
 	dst = binary.BigEndian.AppendUint32(dst, oidBytea)
-	dst = append(dst, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0, 1) // size and modifier unknown, binary
-	dst, at = begin(end(dst, at), 'D')
+	dst = append(dst, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0, 1) // unknown size and modifier, binary format
+	dst, lengthAt = beginMessage(endMessage(dst, lengthAt), 'D')
 	dst = append(dst, 0, 1)
 	if value == nil {
-		return end(append(dst, 0xff, 0xff, 0xff, 0xff), at)
+		return endMessage(append(dst, 0xff, 0xff, 0xff, 0xff), lengthAt)
 	}
 	dst = binary.BigEndian.AppendUint32(dst, uint32(len(value)))
-	return end(append(dst, value...), at)
+	return endMessage(append(dst, value...), lengthAt)
 }
 
-// AppendReady appends ReadyForQuery, outside a transaction.
+// AppendReady appends a ReadyForQuery whose status is idle, that is outside a transaction.
 func AppendReady(dst []byte) []byte { return append(dst, 'Z', 0, 0, 0, 5, 'I') }
 
 // AppendEmpty appends EmptyQueryResponse.
@@ -195,13 +198,13 @@
 
 // AppendComplete appends CommandComplete.
 func AppendComplete(dst []byte, tag string) []byte {
-	dst, at := begin(dst, 'C')
-	return end(appendStr(dst, tag), at)
+	dst, lengthAt := beginMessage(dst, 'C')
+	return endMessage(appendStr(dst, tag), lengthAt)
 }
 
-// AppendError appends an ErrorResponse; an empty detail is left out.
+// AppendError appends an ErrorResponse, without the detail field if detail is empty.
 func AppendError(dst []byte, severity, code, text, detail string) []byte {
-	dst, at := begin(dst, 'E')
+	dst, lengthAt := beginMessage(dst, 'E')
 	for _, f := range []struct {
 		key byte
 		val string
@@ -210,10 +213,10 @@
 			dst = appendStr(append(dst, f.key), f.val)
 		}
 	}
-	return end(append(dst, 0), at)
+	return endMessage(append(dst, 0), lengthAt)
 }
 
-// ErrorCode is the SQLSTATE of an ErrorResponse's body, empty if it has none.
+// ErrorCode returns the SQLSTATE in the body of an ErrorResponse, or "" if it has none.
 func ErrorCode(body []byte) string {
 	for len(body) > 1 {
 		val, rest, ok := bytes.Cut(body[1:], []byte{0})
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -11,37 +11,39 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-const read = "SELECT content FROM kv WHERE name = '7f3a' /* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */"
+const readSQL = "SELECT content FROM kv WHERE name = '7f3a' /* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */"
 
 func TestParseStatement(t *testing.T) {
 	for name, c := range map[string]struct {
-		sql  string
-		want Statement
-		sent string // to a server, with 250 ms to wait
-		err  error
+		sql       string
+		want      Statement
+		forwarded string // the statement as sent to a server, with a time-out of 250 ms
+		err       error
 	}{
-		"read": {read, Statement{ID: "9b1f", Class: "basket", TimeoutMs: 480, Group: 2, AfterMs: 1767225600123, SessionKey: "7f3a"},
+		"read": {readSQL,
+			Statement{ID: "9b1f", Class: "basket", TimeoutMs: 480, Group: 2, AfterMs: 1767225600123, SessionKey: "7f3a"},
 			"SELECT content FROM kv WHERE name = '7f3a' /* id=9b1f,c=basket,d=250,cluster=2,after=1767225600123 */", nil},
-		"write, a retry, names not known": {
+		"write, retry, unknown keys": {
 			`INSERT INTO kv (name, content) VALUES ('7f3a', '\x2f2a') RETURNING content /* k=9,id=1,r=1,zone=x, d=20.5 ,c=order,cluster=0 */;`,
 			Statement{ID: "1", Class: "order", TimeoutMs: 20.5, Retry: true, SessionKey: "7f3a", IsWrite: true},
 			`INSERT INTO kv (name, content) VALUES ('7f3a', '\x2f2a') RETURNING content /* k=9,id=1,r=1,zone=x, d=250 ,c=order,cluster=0 */;`, nil},
-		"a comment inside the value": {"SELECT '/* id=0,c=x,d=1 */' /* id=2,c=a,d=3,cluster=0 */",
-			Statement{ID: "2", Class: "a", TimeoutMs: 3, SessionKey: "/* id=0,c=x,d=1 */"}, "SELECT '/* id=0,c=x,d=1 */' /* id=2,c=a,d=250,cluster=0 */", nil},
-		"no comment":         {"SELECT 1", Statement{}, "", ErrNoComment},
-		"comment not last":   {"SELECT /* id=2,c=a,d=3 */ 1", Statement{}, "", ErrNoComment},
-		"no wait":            {"SELECT 1 /* id=2,c=a */", Statement{}, "", ErrNoComment},
-		"overlapping marks":  {"SELECT 1 /*/", Statement{}, "", ErrNoComment},
-		"wait out of range":  {"SELECT 1 /* id=2,c=a,d=NaN */", Statement{}, "", cmpopts.AnyError},
-		"wait not a number":  {"SELECT 1 /* id=2,c=a,d=soon,cluster=1 */", Statement{}, "", cmpopts.AnyError},
-		"wait below 0":       {"SELECT 1 /* id=2,c=a,d=-5,cluster=1 */", Statement{}, "", cmpopts.AnyError},
-		"no group":           {"SELECT 1 /* id=2,c=a,d=3 */", Statement{}, "", ErrNoComment},
-		"no id":              {"SELECT 1 /* c=a,d=3,cluster=1 */", Statement{}, "", ErrNoComment},
-		"an endless id":      {"SELECT 1 /* id=" + strings.Repeat("9", 300) + ",c=a,d=3,cluster=1 */", Statement{}, "", ErrNoComment},
-		"said twice":         {"SELECT 1 /* id=2,c=a,d=3,cluster=1,id=3 */", Statement{}, "", cmpopts.AnyError},
-		"position below 0":   {"SELECT 1 /* id=2,c=a,d=3,cluster=1,after=-7 */", Statement{}, "", cmpopts.AnyError},
-		"no such kind":       {"DROP TABLE kv /* id=2,c=a,d=3,cluster=1 */", Statement{}, "", ErrStatement},
-		"group not a number": {"SELECT 1 /* id=2,c=a,d=1,cluster=q */", Statement{}, "", cmpopts.AnyError},
+		"comment within the value": {"SELECT '/* id=0,c=x,d=1 */' /* id=2,c=a,d=3,cluster=0 */",
+			Statement{ID: "2", Class: "a", TimeoutMs: 3, SessionKey: "/* id=0,c=x,d=1 */"},
+			"SELECT '/* id=0,c=x,d=1 */' /* id=2,c=a,d=250,cluster=0 */", nil},
+		"no comment":                {"SELECT 1", Statement{}, "", ErrNoComment},
+		"comment not last":          {"SELECT /* id=2,c=a,d=3 */ 1", Statement{}, "", ErrNoComment},
+		"no time-out":               {"SELECT 1 /* id=2,c=a */", Statement{}, "", ErrNoComment},
+		"overlapping comment marks": {"SELECT 1 /*/", Statement{}, "", ErrNoComment},
+		"time-out is NaN":           {"SELECT 1 /* id=2,c=a,d=NaN */", Statement{}, "", cmpopts.AnyError},
+		"time-out not a number":     {"SELECT 1 /* id=2,c=a,d=soon,cluster=1 */", Statement{}, "", cmpopts.AnyError},
+		"negative time-out":         {"SELECT 1 /* id=2,c=a,d=-5,cluster=1 */", Statement{}, "", cmpopts.AnyError},
+		"no group":                  {"SELECT 1 /* id=2,c=a,d=3 */", Statement{}, "", ErrNoComment},
+		"no id":                     {"SELECT 1 /* c=a,d=3,cluster=1 */", Statement{}, "", ErrNoComment},
+		"id too long":               {"SELECT 1 /* id=" + strings.Repeat("9", 300) + ",c=a,d=3,cluster=1 */", Statement{}, "", ErrNoComment},
+		"key given twice":           {"SELECT 1 /* id=2,c=a,d=3,cluster=1,id=3 */", Statement{}, "", cmpopts.AnyError},
+		"negative position":         {"SELECT 1 /* id=2,c=a,d=3,cluster=1,after=-7 */", Statement{}, "", cmpopts.AnyError},
+		"unsupported statement":     {"DROP TABLE kv /* id=2,c=a,d=3,cluster=1 */", Statement{}, "", ErrStatement},
+		"group not a number":        {"SELECT 1 /* id=2,c=a,d=1,cluster=q */", Statement{}, "", cmpopts.AnyError},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := ParseStatement(c.sql)
@@ -52,7 +54,7 @@
 				t.Error(diff)
 			}
 			if err == nil {
-				if diff := cmp.Diff(string(AppendQuery(nil, c.sent)), string(got.AppendQuery(nil, 250))); diff != "" {
+				if diff := cmp.Diff(string(AppendQuery(nil, c.forwarded)), string(got.AppendQuery(nil, 250))); diff != "" {
 					t.Error(diff)
 				}
 			}
@@ -60,12 +62,12 @@
 	}
 }
 
-// TestReaderInPieces guards against taking a message for whole, or losing one, by how the bytes happen to come in.
+// TestReaderInPieces guards against returning an incomplete message, or losing a message, when the input arrives in pieces.
 func TestReaderInPieces(t *testing.T) {
 	ssl := []byte{0, 0, 0, 8, 4, 210, 22, 47}
 	stream := append(ssl, AppendStartup(nil, "u", "d")...)
-	stream = AppendReady(AppendQuery(AppendQuery(stream, read), ""))
-	want := []string{"startup 1", "startup 0", "Q" + read + "\x00", "Q\x00", "ZI"}
+	stream = AppendReady(AppendQuery(AppendQuery(stream, readSQL), ""))
+	want := []string{"startup 1", "startup 0", "Q" + readSQL + "\x00", "Q\x00", "ZI"}
 	for size := 1; size <= len(stream); size++ {
 		r := NewReader(1 << 10)
 		var got []string
@@ -100,9 +102,9 @@
 
 func TestReaderBounds(t *testing.T) {
 	for name, b := range map[string][]byte{
-		"message longer than the bound": {'Q', 0, 0, 8, 0},
-		"length that leaves itself out": {'Q', 0, 0, 0, 3},
-		"length of 4 GiB":               {'Q', 255, 255, 255, 255},
+		"message longer than the maximum":     {'Q', 0, 0, 8, 0},
+		"length that does not include itself": {'Q', 0, 0, 0, 3},
+		"length of 4 GiB":                     {'Q', 255, 255, 255, 255},
 	} {
 		r := NewReader(1 << 10)
 		r.Feed(b)
@@ -122,7 +124,7 @@
 	}
 }
 
-func TestBodies(t *testing.T) {
+func TestParseBodies(t *testing.T) {
 	e := AppendError(nil, "ERROR", "53300", "full", "250")
 	if got := ErrorCode(e[5:]); got != "53300" {
 		t.Errorf("code %q", got)
@@ -142,9 +144,9 @@
 	}
 }
 
-// TestKeyDoesNotKeepItsStatement: a session is remembered by its key long after its statement, which may hold a large value; a key
-// that is a part of that text would keep all of it.
-func TestKeyDoesNotKeepItsStatement(t *testing.T) {
+// TestSessionKeyDoesNotRetainStatement guards against session keys that keep whole statements in memory. The key is stored long
+// after the statement, which may hold a large value; a substring of the statement would retain all of its text.
+func TestSessionKeyDoesNotRetainStatement(t *testing.T) {
 	sql := strings.Clone("INSERT INTO kv (name, content) VALUES ('7f3a', '" + strings.Repeat("0", 1<<16) +
 		"') RETURNING content /* id=1,c=order,d=480,cluster=2 */")
 	s, err := ParseStatement(sql)
@@ -153,6 +155,6 @@
 	}
 	from, key := uintptr(unsafe.Pointer(unsafe.StringData(sql))), uintptr(unsafe.Pointer(unsafe.StringData(s.SessionKey)))
 	if key >= from && key < from+uintptr(len(sql)) {
-		t.Error("the key lies within the statement's text")
+		t.Error("the key shares the memory of the statement")
 	}
 }
--- a/internal/pgwire/statement.go
+++ b/internal/pgwire/statement.go
@@ -8,41 +8,43 @@
 	"strings"
 )
 
-// ErrNoComment says that a statement does not end in the comment that names its request.
+// ErrNoComment reports that a statement does not end in a comment with the parameters of its request.
 var ErrNoComment = errors.New("statement has no request comment")
 
-// ErrStatement says that a statement is of no kind that servers are asked.
+// ErrStatement reports that a statement is of a kind that is not forwarded to servers.
 var ErrStatement = errors.New("only SELECT, INSERT, UPDATE and DELETE are taken")
 
 const (
-	maxWaitMs = 24 * 3600 * 1000 // that a client may say it waits: a day
-	maxName   = 256              // of an id or a class
+	// maxTimeoutMs is the longest time-out that a client may specify, in milliseconds: one day.
+	maxTimeoutMs = 24 * 3600 * 1000
+	// maxNameBytes is the maximum length of a request's id or class.
+	maxNameBytes = 256
 )
 
-// Statement is a client's statement with what its comment says.
+// Statement is a client's statement with the parameters in its comment.
 type Statement struct {
-	ID         string
-	Class      string
-	TimeoutMs  float64 // key d: how long the client waits after it has sent the request
-	Group      int     // cluster
+	ID         string  // key id
+	Class      string  // key c
+	TimeoutMs  float64 // key d: how long the client waits for the answer after it has sent the request
+	Group      int     // key cluster
 	AfterMs    int64   // key after: Unix time of the session's last commit in milliseconds, 0 for none
-	Retry      bool
-	SessionKey string // the first quoted value, which identifies the session if the application has sessions
-	IsWrite    bool   // the statement changes data, judged by its first word
+	Retry      bool    // key r
+	SessionKey string  // the first quoted value, which identifies the session if the application has sessions
+	IsWrite    bool    // the first word is INSERT, UPDATE or DELETE
 
-	head, tail string // the statement up to the value of d, and from its end on
+	beforeTimeout, afterTimeout string // the statement before and after the value of key d
 }
 
-// ParseStatement reads a statement and its closing comment. Names not known here are skipped.
+// ParseStatement parses a statement and the comment at its end. It ignores unknown keys in the comment.
 func ParseStatement(sql string) (Statement, error) {
 	body := strings.TrimRight(sql, "; \t\r\n")
-	from := strings.LastIndex(body, "/*")
-	if from < 0 || !strings.HasSuffix(body, "*/") || len(body) < from+4 {
+	commentStart := strings.LastIndex(body, "/*")
+	if commentStart < 0 || !strings.HasSuffix(body, "*/") || len(body) < commentStart+4 {
 		return Statement{}, ErrNoComment
 	}
 	s := Statement{}
-	word, _, _ := strings.Cut(strings.TrimLeft(body, " \t\r\n"), " ")
-	switch strings.ToUpper(word) {
+	keyword, _, _ := strings.Cut(strings.TrimLeft(body, " \t\r\n"), " ")
+	switch strings.ToUpper(keyword) {
 	case "SELECT":
 	case "INSERT", "UPDATE", "DELETE":
 		s.IsWrite = true
@@ -50,16 +52,16 @@
 		return Statement{}, ErrStatement
 	}
 	seen := map[string]bool{}
-	fields := body[from+2 : len(body)-2]
-	at := from + 2
-	for part := range strings.SplitSeq(fields, ",") {
-		name, val, ok := strings.Cut(part, "=")
-		valAt := at + len(name) + 1
-		at += len(part) + 1
+	fields := body[commentStart+2 : len(body)-2]
+	offset := commentStart + 2
+	for field := range strings.SplitSeq(fields, ",") {
+		name, val, ok := strings.Cut(field, "=")
+		valOffset := offset + len(name) + 1
+		offset += len(field) + 1
 		if !ok {
 			continue
 		}
-		raw := val
+		untrimmed := val
 		val = strings.TrimSpace(val)
 		var err error
 		name = strings.TrimSpace(name)
@@ -76,9 +78,9 @@
 		case "c":
 			s.Class = val
 		case "d":
-			valAt += strings.Index(raw, val)
-			s.head, s.tail = sql[:valAt], sql[valAt+len(val):]
-			if s.TimeoutMs, err = strconv.ParseFloat(val, 64); err == nil && !(s.TimeoutMs > 0 && s.TimeoutMs <= maxWaitMs) {
+			valOffset += strings.Index(untrimmed, val)
+			s.beforeTimeout, s.afterTimeout = sql[:valOffset], sql[valOffset+len(val):]
+			if s.TimeoutMs, err = strconv.ParseFloat(val, 64); err == nil && !(s.TimeoutMs > 0 && s.TimeoutMs <= maxTimeoutMs) {
 				err = strconv.ErrRange
 			}
 		case "cluster":
@@ -94,29 +96,30 @@
 			return Statement{}, fmt.Errorf("comment: %s: %w", name, err)
 		}
 	}
-	if s.ID == "" || s.Class == "" || s.head == "" || !seen["cluster"] {
+	if s.ID == "" || s.Class == "" || s.beforeTimeout == "" || !seen["cluster"] {
 		return Statement{}, fmt.Errorf("comment: id, c, d and cluster are needed: %w", ErrNoComment)
 	}
-	if len(s.ID) > maxName || len(s.Class) > maxName {
-		return Statement{}, fmt.Errorf("comment: id or c of over %d bytes: %w", maxName, ErrNoComment)
+	if len(s.ID) > maxNameBytes || len(s.Class) > maxNameBytes {
+		return Statement{}, fmt.Errorf("comment: id or c of over %d bytes: %w", maxNameBytes, ErrNoComment)
 	}
-	if _, rest, ok := strings.Cut(body[:from], "'"); ok {
+	if _, rest, ok := strings.Cut(body[:commentStart], "'"); ok {
 		key, _, _ := strings.Cut(rest, "'")
-		s.SessionKey = strings.Clone(key) // it outlives the statement, which may be large, where sessions are remembered
+		s.SessionKey = strings.Clone(key) // a copy: the key may be kept long after the statement, which may be large
 	}
 	return s, nil
 }
 
-// AppendQuery appends the statement as a query to a server, with d saying how long this program waits.
-func (s *Statement) AppendQuery(dst []byte, waitMs int) []byte {
-	return AppendQuery(dst, s.head, strconv.Itoa(waitMs), s.tail)
+// AppendQuery appends the statement as a query to a server. The value of key d becomes timeoutMs, the time for which the pooler
+// waits for the answer.
+func (s *Statement) AppendQuery(dst []byte, timeoutMs int) []byte {
+	return AppendQuery(dst, s.beforeTimeout, strconv.Itoa(timeoutMs), s.afterTimeout)
 }
 
 // Pairs yields the names and values of a list such as 'inflight=7,util=0.61'.
 func Pairs(list string) iter.Seq2[string, string] {
 	return func(yield func(string, string) bool) {
-		for part := range strings.SplitSeq(list, ",") {
-			if name, val, ok := strings.Cut(part, "="); ok && !yield(strings.TrimSpace(name), strings.TrimSpace(val)) {
+		for pair := range strings.SplitSeq(list, ",") {
+			if name, val, ok := strings.Cut(pair, "="); ok && !yield(strings.TrimSpace(name), strings.TrimSpace(val)) {
 				return
 			}
 		}
