--- a/internal/front/client_limits.go
+++ b/internal/front/client_limits.go
@@ -43,7 +43,7 @@
 	closeHalfClosedTimeout loop.Reason = "front.left"
 	// closeSendStalled: the client does not read its answers.
 	closeSendStalled loop.Reason = "front.stuck"
-	// closeStartupTimeout: the client has not sent any part of a startup message.
+	// closeStartupTimeout: the client has not sent any part of a startup message within startupTimeoutMs.
 	closeStartupTimeout loop.Reason = "front.silent"
 	// closeIdle: the client has been idle for idleTimeoutMs.
 	closeIdle loop.Reason = "front.idle"
@@ -63,12 +63,12 @@
 	closeImmediate loop.Reason = "front.last_word"
 )
 
-// Budget holds the resource limits of the machine.
+// Budget holds the limits on the resources that the front may use.
 type Budget struct {
 	SpareDescriptors    func() int  // descriptors left for clients, below 0 if there are too many clients
 	ActiveClientLimit   func() int  // with more active clients than this, idle ones are closed
 	CloseIdleServerConn func() bool // closes an idle connection to a server and reports whether there was one
-	MemoryBytes         func() int  // memory of the machine, in bytes
+	MemoryBytes         func() int  // memory limit of the process, in bytes
 
 	MaxRetryAfterMs float64 // longest retry-after time that a client may be sent, 0 for none
 }
@@ -82,7 +82,7 @@
 	stateIdleUnused                        // idle, without any request so far
 	stateIdle                              // idle, with earlier requests
 	statePartialMessage                    // a message has been received in part
-	stateBusy                              // never closed to make room
+	stateBusy                              // commands or unsent answers are pending; never evicted
 	clientStateCount
 )
 
--- a/internal/front/client_limits_test.go
+++ b/internal/front/client_limits_test.go
@@ -27,7 +27,7 @@
 	onSubmit  func() // called by each Submit
 }
 
-// newFixture starts a front on a machine with the given memory in bytes.
+// newFixture starts a front with the given memory limit in bytes.
 func newFixture(t *testing.T, memory int) *fixture {
 	f := &fixture{t: t, submitted: make(chan Client, 99), onSubmit: func() {}}
 	log := slog.New(slog.DiscardHandler)
@@ -40,7 +40,8 @@
 		},
 		abandon: func(slots.Ref) {},
 	}, invariant.New(log, f.loop.Metrics()), Budget{SpareDescriptors: func() int { return 9 },
-		ActiveClientLimit: func() int { return 9 }, CloseIdleServerConn: func() bool { return false }, MemoryBytes: func() int { return memory }})
+		ActiveClientLimit: func() int { return 9 }, CloseIdleServerConn: func() bool { return false },
+		MemoryBytes: func() int { return memory }})
 	ready, ended := make(chan struct{}), make(chan error, 1)
 	f.loop.OnReady = func() { close(ready) }
 	go func() { ended <- f.loop.Run("127.0.0.1:0") }()
@@ -113,9 +114,9 @@
 		"' /* id="+id+",c=read,d=9000,cluster=0 */")
 }
 
-// TestFreeDescriptorSparesRequestingClients guards against closing clients that have a request. Descriptors run out while a request
-// is submitted. Its client is still in the list of idle clients, and another client has input that is not read yet; neither may be
-// closed.
+// TestFreeDescriptorSparesRequestingClients guards against closing clients that have a request. Descriptors run out while a
+// request is submitted. Its client is still in the list of idle clients, and another client has input that is not read yet;
+// neither may be closed.
 func TestFreeDescriptorSparesRequestingClients(t *testing.T) {
 	f := newFixture(t, 1<<20)
 	requesting, unread := f.connect(), f.connect()
@@ -165,8 +166,8 @@
 	}
 }
 
-// TestPartialMessageDoesNotRefuseOthers checks that an incomplete message does not count as an open request: with more than half of
-// the memory allowed for clients held by one, requests of other clients are still accepted.
+// TestPartialMessageDoesNotRefuseOthers checks that an incomplete message does not count as an open request: while one holds more
+// than half of the memory allowed for clients, requests of other clients are still accepted.
 func TestPartialMessageDoesNotRefuseOthers(t *testing.T) {
 	f := newFixture(t, 1<<20)
 	partial, complete := f.connect(), f.connect()
--- a/internal/front/postgres_test.go
+++ b/internal/front/postgres_test.go
@@ -22,9 +22,9 @@
 func (h stubHandler) Submit(q Request, c Client) (slots.Ref, error) { return h.submit(q, c) }
 func (h stubHandler) Abandon(ref slots.Ref, _ string)               { h.abandon(ref) }
 
-// TestClientClosedDuringSubmit guards against forwarding the request of a client that is gone. Submit of the second request answers
-// the first one, and the connection breaks as this answer is written. At that time the session does not have the second request's
-// Ref yet; the request must be abandoned nevertheless.
+// TestClientClosedDuringSubmit guards against forwarding the request of a client that has disconnected. Submit of the second
+// request answers the first one, and the connection breaks as this answer is written. At that time the session does not have the
+// second request's Ref yet; the request must be abandoned nevertheless.
 func TestClientClosedDuringSubmit(t *testing.T) {
 	var p *Postgres
 	var first Client
