--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -9,80 +9,85 @@
 	"beechgrade/internal/pgwire"
 )
 
-// count brings the sum of what is coming in up to date.
-func (c *conn) count() {
+// updateAnswerBytes updates the number of buffered answer bytes, of this connection and of the pool.
+func (c *conn) updateAnswerBytes() {
 	n := 0
 	if c.state == busy && c.attempt != nil {
-		n = c.in.Buffered() + len(c.answer)
+		n = c.input.Buffered() + len(c.answer)
 	}
-	c.pool.held += n - c.held
-	c.held = n
+	c.pool.answerBytes += n - c.answerBytes
+	c.answerBytes = n
 }
 
-// watch bounds how long an answer that has begun may take to go on: connections fall silent in its midst.
-func (c *conn) watch() {
+// resetStallTimer restarts the time-out for the rest of an answer that has begun. Connections may stall in the middle of an
+// answer.
+func (c *conn) resetStallTimer() {
 	a, p := c.attempt, c.pool
-	if c.state != busy || a == nil || c.reading.Empty() && c.in.Buffered() == 0 {
+	if c.state != busy || a == nil || c.parser.Empty() && c.input.Buffered() == 0 {
 		return
 	}
-	left := float64(stallMs)
-	if a.once {
-		left = stallOnce
+	timeoutMs := float64(stallTimeoutMs)
+	if a.atMostOnce {
+		timeoutMs = atMostOnceStallTimeoutMs
 	}
 	p.loop.StopTimer(c.timer)
-	c.timer = p.loop.At(p.loop.Now()+left, func() {
-		p.log.Debug("an answer stopped short", "server", c.server.id)
-		p.drop(a, beechgrade.Failed)
+	c.timer = p.loop.At(p.loop.Now()+timeoutMs, func() {
+		p.log.Debug("answer stalled", "server", c.server.id)
+		p.abort(a, beechgrade.Failed)
 	})
 }
 
-// spoilt ends a connection whose server cannot be understood. What it carried has failed and may have run.
-func (c *conn) spoilt(err error) {
-	c.pool.log.Warn("server broke the protocol", "server", c.server.id, "err", err)
+// handleProtocolError closes the connection after its server violated the protocol. Its attempt has failed and may have run.
+func (c *conn) handleProtocolError(err error) {
+	c.pool.log.Warn("protocol violation by server", "server", c.server.id, "err", err)
 	if c.attempt != nil {
-		c.pool.drop(c.attempt, beechgrade.Failed)
+		c.pool.abort(c.attempt, beechgrade.Failed)
 		return
 	}
-	c.c.Close(closeSpoilt)
+	c.loopConn.Close(closeProtocolError)
 }
 
-func (c *conn) message(m pgwire.Message) {
+func (c *conn) handleMessage(m pgwire.Message) {
 	switch m.Type {
 	case 'T', 'C':
 		c.answer = append(c.answer, m.Raw...)
 	case 'D':
 		c.answer = append(c.answer, m.Raw...)
 		if c.attempt != nil && c.attempt.query == nil {
-			c.row = append([]byte(nil), m.Body...)
+			c.reportRow = append([]byte(nil), m.Body...)
 		}
 	case 'S':
-		c.parameter(m.Body)
+		c.handleParameter(m.Body)
 	case 'Z':
-		c.settled()
+		c.handleReadyForQuery()
 	}
 }
 
-func (c *conn) parameter(body []byte) {
+func (c *conn) handleParameter(body []byte) {
 	name, val, err := pgwire.ParseParameter(body)
 	if err != nil {
 		return
 	}
-	switch name { // the first that can be read counts
+	switch name { // the first valid value of each counts
 	case "role":
 		if c.outcome.Role == beechgrade.RoleUnknown {
-			c.outcome.Role = c.pool.role(val)
+			c.outcome.Role = c.pool.parseRole(val)
 		}
 	case c.pool.opt.PositionParameter:
-		if ms, err := strconv.ParseInt(val, 10, 64); err == nil && !c.outcome.HasPosition && c.pool.position(clock.FromUnix(ms)) {
+		if ms, err := strconv.ParseInt(val, 10, 64); err == nil && !c.outcome.HasPosition &&
+			c.pool.plausiblePosition(clock.FromUnix(ms)) {
 			c.outcome.Position, c.outcome.HasPosition = clock.FromUnix(ms), true
 		}
 	}
 }
 
-// position tells whether a server may have got so far.
-func (p *Pool) position(ms float64) bool { return ms > 0 && ms <= p.loop.Now()+aheadMs }
+// plausiblePosition reports whether a server can have reached the position ms: it is above 0, and not further ahead of the
+// clock than maxPositionLeadMs.
+func (p *Pool) plausiblePosition(ms float64) bool {
+	return ms > 0 && ms <= p.loop.Now()+maxPositionLeadMs
+}
 
-func (p *Pool) role(val string) beechgrade.Role {
+func (p *Pool) parseRole(val string) beechgrade.Role {
 	switch val {
 	case p.opt.Roles[0]:
 		return beechgrade.RolePrimary
@@ -92,38 +97,38 @@
 	return beechgrade.RoleUnknown
 }
 
-// settled ends what the connection carries, at its ReadyForQuery.
-func (c *conn) settled() {
+// handleReadyForQuery completes the connection's startup or its attempt.
+func (c *conn) handleReadyForQuery() {
 	p := c.pool
 	switch {
-	case c.state == greeting:
+	case c.state == startingUp:
 		c.server.dialing--
-		c.ready()
+		c.serveNext()
 	case c.state == busy && c.attempt != nil:
 		a, o := c.attempt, c.outcome
-		p.wear.note(p.loop.Now(), c.rested, false)
+		p.idleTimeout.record(p.loop.Now(), c.idleMs, false)
 		o.Result = c.result()
 		if o.Result == beechgrade.OK {
 			o.Answer = c.answer
 			if a.query == nil {
-				o = p.report(c.row)
+				o = p.parseReport(c.reportRow)
 			}
 		}
 		c.attempt, a.conn = nil, nil
-		// The connection is free before the end is told: what that leads to may use it.
-		c.ready()
-		p.end(a, o)
-		if cap(c.answer) > keepAnswer {
+		// Free the connection before the outcome is reported: that call may start an attempt which uses it.
+		c.serveNext()
+		p.finish(a, o)
+		if cap(c.answer) > maxKeptBuffer {
 			c.answer = nil
 		}
 	}
 }
 
-// result reads the outcome by what came before ReadyForQuery.
+// result returns the result of the attempt, according to the messages before ReadyForQuery.
 func (c *conn) result() beechgrade.Result {
-	switch c.reading.ErrorCode {
+	switch c.parser.ErrorCode {
 	case "":
-		if c.reading.Succeeded {
+		if c.parser.Succeeded {
 			return beechgrade.OK
 		}
 	case "25006", "72000":
@@ -134,9 +139,9 @@
 	return beechgrade.Failed
 }
 
-// report reads a load report's row. One with nothing in it, as a server that has none yet sends, tells that
-// the server is there; one that cannot be read, or lacks a field that it should have, tells nothing.
-func (p *Pool) report(row []byte) Outcome {
+// parseReport parses the row of a load report. An empty report comes from a server that has none yet, and counts as a
+// successful probe. The probe has failed if the report has no valid x0 or x1 although ReportFields names it.
+func (p *Pool) parseReport(row []byte) Outcome {
 	o := Outcome{Result: beechgrade.OK}
 	col, err := pgwire.ParseColumn(row)
 	if err == nil && len(col) == 0 {
@@ -146,7 +151,7 @@
 		x, err := strconv.ParseFloat(val, 64)
 		switch {
 		case err != nil:
-		case name == "x0" && p.position(x*1000): // down to whole milliseconds, as a printed figure may have been rounded up
+		case name == "x0" && p.plausiblePosition(x*1000): // truncated to whole milliseconds: the server may have rounded it up
 			o.Position, o.HasPosition = clock.FromUnix(int64(x*1000)), true
 		case name == "x1" && x == 1:
 			o.Role = beechgrade.RolePrimary
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -14,86 +14,88 @@
 	Number  int
 }
 
-// Outcome is how an attempt or probe ended, with what its answer told.
+// Outcome says how an attempt or probe ended, and what its answer said about the server.
 type Outcome struct {
 	Result      beechgrade.Result
-	Answer      []byte // OK: the row as messages, valid during the call
+	Answer      []byte // if Result is OK: the messages of the row, valid during the call
 	Role        beechgrade.Role
-	Position    float64 // on the clock, where HasPosition
+	Position    float64 // a time in milliseconds; valid if HasPosition is true
 	HasPosition bool
-	WaitedMs    float64 // time that it waited for a connection, in milliseconds
+	WaitedMs    float64 // time spent waiting for a connection, in milliseconds
 }
 
-// attempt is a request's attempt, or a probe where query is nil.
+// attempt is an attempt of a request, or a probe if query is nil. All times are in milliseconds.
 type attempt struct {
-	ref     slots.Ref
-	tag     AttemptID
-	id      string  // of the server
-	server  *server // nil if it is not known
-	query   Query
-	until   float64
-	by      float64 // it may not be sent then or later
-	began   float64
-	written float64 // 0 until it has a connection
-	conn    *conn
-	timer   *deadline.Timer // its end
-	connect *deadline.Timer // the end of its wait for a connection
-	once    bool            // it must not run twice
+	ref          slots.Ref
+	attemptID    AttemptID
+	serverID     string
+	server       *server // nil if the server is unknown
+	query        Query
+	timeoutAt    float64
+	sendDeadline float64 // the attempt may not be sent at this time or later
+	startedAt    float64
+	writtenAt    float64 // 0 until the attempt has a connection
+	conn         *conn
+	timeoutTimer *deadline.Timer
+	connectTimer *deadline.Timer // limits the wait for a connection
+	atMostOnce   bool            // the request must not run twice
 }
 
-// StartAttempt starts an attempt that times out at until, and is not sent at by or later. An attempt that must not run twice
-// is not sent on a connection that would probably lose it.
-func (p *Pool) StartAttempt(id string, q Query, until, by float64, once bool, t AttemptID) slots.Ref {
-	a := &attempt{tag: t, id: id, query: q, until: until, by: by, began: p.loop.Now(), once: once, server: p.servers[id]}
+// StartAttempt starts an attempt that times out at timeoutAt and is not sent at sendDeadline or later. If atMostOnce is
+// true, it is not sent on a connection that has probably expired while it was idle.
+func (p *Pool) StartAttempt(serverID string, q Query, timeoutAt, sendDeadline float64, atMostOnce bool, id AttemptID) slots.Ref {
+	a := &attempt{attemptID: id, serverID: serverID, query: q, timeoutAt: timeoutAt, sendDeadline: sendDeadline,
+		startedAt: p.loop.Now(), atMostOnce: atMostOnce, server: p.servers[serverID]}
 	a.ref = p.attempts.Put(a)
-	p.begin(a)
+	p.start(a)
 	return a.ref
 }
 
-// Probe asks a server for its load report.
-func (p *Pool) Probe(id string) {
-	a := &attempt{id: id, until: p.loop.Now() + p.opt.ConnectTimeoutMs, by: math.Inf(1), server: p.servers[id]}
+// Probe requests the load report of a server.
+func (p *Pool) Probe(serverID string) {
+	a := &attempt{serverID: serverID, timeoutAt: p.loop.Now() + p.opt.ConnectTimeoutMs, sendDeadline: math.Inf(1),
+		server: p.servers[serverID]}
 	a.ref = p.attempts.Put(a)
-	p.begin(a)
+	p.start(a)
 }
 
 // CancelAttempt cancels an attempt. If its query has been sent, its connection is closed and never used again.
 func (p *Pool) CancelAttempt(ref slots.Ref) {
 	if a, ok := p.attempts.Get(ref); ok {
-		p.drop(a, beechgrade.Cancelled)
+		p.abort(a, beechgrade.Cancelled)
 	}
 }
 
 // CancelUnsentAttempt cancels an attempt that still waits for a connection. One that has been sent stays in flight.
 func (p *Pool) CancelUnsentAttempt(ref slots.Ref) {
 	if a, ok := p.attempts.Get(ref); ok && a.conn == nil {
-		p.drop(a, beechgrade.Skipped)
+		p.abort(a, beechgrade.Skipped)
 	}
 }
 
-func (p *Pool) begin(a *attempt) {
+func (p *Pool) start(a *attempt) {
 	s := a.server
 	if s == nil {
-		p.end(a, Outcome{Result: beechgrade.Unreachable})
+		p.finish(a, Outcome{Result: beechgrade.Unreachable})
 		return
 	}
-	a.timer = p.loop.At(a.until, func() { p.drop(a, beechgrade.TimedOut) })
-	a.connect = p.loop.At(min(a.by, p.loop.Now()+p.opt.ConnectTimeoutMs), func() {
-		if s.dialing == 0 || p.late(a) { // want of a descriptor, or of time, tells nothing of the server
-			p.drop(a, beechgrade.Skipped)
+	a.timeoutTimer = p.loop.At(a.timeoutAt, func() { p.abort(a, beechgrade.TimedOut) })
+	a.connectTimer = p.loop.At(min(a.sendDeadline, p.loop.Now()+p.opt.ConnectTimeoutMs), func() {
+		if s.dialing == 0 || p.expired(a) { // a lack of descriptors or of time says nothing about the server
+			p.abort(a, beechgrade.Skipped)
 			return
 		}
-		p.drop(a, beechgrade.Unreachable)
+		p.abort(a, beechgrade.Unreachable)
 	})
 	for len(s.idle) > 0 {
 		c := s.idle[len(s.idle)-1]
-		// The server may have closed it, with the news still on its way through the loop: a request
-		// written now would end as a reset, and an unsafe one could not be tried again.
-		if !c.c.NoPendingInput() {
-			c.c.Close(closeNotQuiet)
+		// The server may have closed the connection before the loop has read the end of the stream. A request written
+		// now would end in a reset, and an unsafe one could not be retried.
+		if !c.loopConn.NoPendingInput() {
+			c.loopConn.Close(closeUnexpectedInput)
 			continue
 		}
-		if a.once && p.loop.Now()-c.since >= p.wear.limit { // as far as can be told, it may be of no use
+		if a.atMostOnce && p.loop.Now()-c.idleSince >= p.idleTimeout.limitMs { // the connection has probably expired
 			break
 		}
 		p.send(c, a)
@@ -105,40 +107,42 @@
 	}
 }
 
-// send has a free connection carry an attempt, unless that may not be sent any more, and tells whether it does.
+// send sends an attempt on a free connection, unless the attempt may no longer be sent. It reports whether it was sent.
 func (p *Pool) send(c *conn, a *attempt) bool {
-	tellMs, ok := 0, true
+	timeLimitMs, ok := 0, true
 	if a.query != nil {
-		tellMs, ok = p.events.BeforeSend(a.tag, a.until)
+		timeLimitMs, ok = p.events.BeforeSend(a.attemptID, a.timeoutAt)
 	}
 	if !ok {
-		p.drop(a, beechgrade.Skipped)
+		p.abort(a, beechgrade.Skipped)
 		return false
 	}
-	c.carry(a, tellMs)
+	c.writeQuery(a, timeLimitMs)
 	return true
 }
 
-// late tells whether an attempt may not be sent any more.
-func (p *Pool) late(a *attempt) bool { return p.loop.Now() >= min(a.by, a.until) }
+// expired reports whether the send deadline or the time-out of an attempt has passed.
+func (p *Pool) expired(a *attempt) bool { return p.loop.Now() >= min(a.sendDeadline, a.timeoutAt) }
 
-// drop ends an attempt from this side.
-func (p *Pool) drop(a *attempt, r beechgrade.Result) {
+// abort ends an attempt that has not been answered. If its query was written, the connection is closed.
+func (p *Pool) abort(a *attempt, r beechgrade.Result) {
 	c := a.conn
 	if c == nil && a.query != nil && r != beechgrade.Unreachable && r != beechgrade.Overloaded {
-		r = beechgrade.Skipped // it was never written
+		r = beechgrade.Skipped // the query was never written
 	}
 	if c != nil {
-		c.attempt, a.conn = nil, nil // before the close, which would report a reset...
-		c.c.Close(closeGivenUp)      // ...and that before the end, which may have the request sent elsewhere at once
-		p.end(a, Outcome{Result: r})
+		// Detach the attempt first, because the close would report a reset for it. Close the connection before the outcome
+		// is reported, because that call may send the request to another server at once.
+		c.attempt, a.conn = nil, nil
+		c.loopConn.Close(closeAttemptAborted)
+		p.finish(a, Outcome{Result: r})
 		return
 	}
-	p.unqueue(a)
-	p.end(a, Outcome{Result: r})
+	p.removeWaiting(a)
+	p.finish(a, Outcome{Result: r})
 }
 
-func (p *Pool) unqueue(a *attempt) {
+func (p *Pool) removeWaiting(a *attempt) {
 	w := a.server.waiting
 	for i := range w {
 		if w[i] == a {
@@ -148,24 +152,24 @@
 	}
 }
 
-// end files an attempt out and reports it, once.
-func (p *Pool) end(a *attempt, o Outcome) {
+// finish removes an attempt and reports its outcome. It does nothing if the attempt has ended before.
+func (p *Pool) finish(a *attempt, o Outcome) {
 	if _, ok := p.attempts.Get(a.ref); !ok {
 		return
 	}
 	p.attempts.Delete(a.ref)
-	p.loop.StopTimer(a.timer)
-	p.loop.StopTimer(a.connect)
+	p.loop.StopTimer(a.timeoutTimer)
+	p.loop.StopTimer(a.connectTimer)
 	if a.conn != nil && a.conn.attempt == a {
 		a.conn.attempt = nil
 	}
 	if a.query == nil {
-		p.events.ProbeEnded(a.id, o)
+		p.events.ProbeEnded(a.serverID, o)
 		return
 	}
-	o.WaitedMs = p.loop.Now() - a.began
-	if a.written > 0 {
-		o.WaitedMs = a.written - a.began
+	o.WaitedMs = p.loop.Now() - a.startedAt
+	if a.writtenAt > 0 {
+		o.WaitedMs = a.writtenAt - a.startedAt
 	}
-	p.events.AttemptEnded(a.tag, o)
+	p.events.AttemptEnded(a.attemptID, o)
 }
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -8,57 +8,59 @@
 	"beechgrade/internal/slots"
 )
 
-// Why this side closes a connection to a server.
+// Reasons for which the pool closes a connection to a server.
 const (
-	closeMoved     loop.Reason = "backend.moved"     // the list shows the server at another address
-	closeDraining  loop.Reason = "backend.draining"  // the server drains
-	closeGone      loop.Reason = "backend.gone"      // the server has left the list
-	closeNotQuiet  loop.Reason = "backend.not_quiet" // something came that was not asked for, or the server's end
-	closeSlowStart loop.Reason = "backend.slow"      // it did not come up in time
-	closeRoom      loop.Reason = "backend.room"      // its descriptor is needed
-	closeGivenUp   loop.Reason = "backend.given_up"  // its attempt was given up
-	closeIdle      loop.Reason = "backend.idle"      // it has been idle for as long as the settings allow
-	closeSpoilt    loop.Reason = "backend.spoilt"    // the server broke the protocol
-	closeUnsent    loop.Reason = "backend.unsent"    // it does not take a query whole
+	closeAddressChanged  loop.Reason = "backend.moved"     // discovery lists another address for the server
+	closeDraining        loop.Reason = "backend.draining"  // the server is draining
+	closeRemoved         loop.Reason = "backend.gone"      // the server was removed from the list
+	closeUnexpectedInput loop.Reason = "backend.not_quiet" // unsolicited data or an end of stream was received
+	closeStartupTimeout  loop.Reason = "backend.slow"      // the connection was not ready within the connect time-out
+	closeForDescriptor   loop.Reason = "backend.room"      // the descriptor is needed for another connection
+	closeAttemptAborted  loop.Reason = "backend.given_up"  // the attempt on the connection was aborted
+	closeIdle            loop.Reason = "backend.idle"      // the idle time-out has passed
+	closeProtocolError   loop.Reason = "backend.spoilt"    // the server violated the protocol
+	closeWriteTimeout    loop.Reason = "backend.unsent"    // the query could not be written completely within writeTimeoutMs
 )
 
+// state is the state of a connection.
 type state int
 
 const (
-	dialing state = iota
-	greeting
+	dialing    state = iota
+	startingUp       // the startup message was sent, ReadyForQuery has not been received
 	idle
-	busy
+	busy // a query was sent
 	closed
 )
 
-// conn is a connection to a server; it is the loop's Handler.
+// conn is a connection to a server. It implements loop.Handler. All times are in milliseconds.
 type conn struct {
-	pool    *Pool
-	ref     slots.Ref
-	server  *server
-	addr    string // that it was dialled to
-	c       *loop.Conn
-	state   state
-	in      pgwire.Reader
-	attempt *attempt
-	sent    bool // the attempt's last byte was handed to the socket or its buffer
-	idleNo  uint64
-	since   float64         // up or idle since then
-	written float64         // its attempt, then
-	rested  float64         // before that
-	timer   *deadline.Timer // of coming up, then of idling
+	pool          *Pool
+	ref           slots.Ref
+	server        *server
+	addr          string // the address that was dialled
+	loopConn      *loop.Conn
+	state         state
+	input         pgwire.Reader
+	attempt       *attempt
+	queryBuffered bool            // the whole query was passed to the socket or its buffer
+	idleSeq       uint64          // orders idle connections by the time at which they became idle
+	idleSince     float64         // when the connection last became ready for a query
+	writtenAt     float64         // when the current query was written
+	idleMs        float64         // how long the connection was idle before that query
+	timer         *deadline.Timer // the connect, write, stall or idle time-out, depending on the state
 
-	// of the answer that is coming in
-	reading pgwire.Answer
-	answer  []byte
-	held    int    // its part of the pool's
-	row     []byte // of a probe's
-	outcome Outcome
+	// The answer that is being received.
+	parser      pgwire.Answer
+	answer      []byte
+	answerBytes int    // this connection's share of Pool.answerBytes
+	reportRow   []byte // if the answer is a load report
+	outcome     Outcome
 }
 
-// failed takes a connection out that never came up, and with it the attempt that waited longest.
-func (c *conn) failed() {
+// connectFailed removes a connection that was never established. It also ends the attempt that has waited longest, unless
+// enough other connections are being opened for all that wait.
+func (c *conn) connectFailed() {
 	if c.state == closed {
 		return
 	}
@@ -67,112 +69,112 @@
 	c.pool.conns.Delete(c.ref)
 	c.server.dialing--
 	if w := c.server.waiting; len(w) > c.server.dialing {
-		c.pool.drop(w[0], beechgrade.Unreachable)
+		c.pool.abort(w[0], beechgrade.Unreachable)
 	}
 }
 
-// shortOfResources takes a connection out that this machine could not make. That tells nothing of the server: what waits goes on
-// waiting, for another try or for a connection that comes free.
-func (c *conn) shortOfResources() {
+// connectFailedLocally removes a connection that failed for lack of resources on this machine. That says nothing about the
+// server, so waiting attempts keep waiting, for another dial or for a connection that becomes free.
+func (c *conn) connectFailedLocally() {
 	p, s := c.pool, c.server
 	c.state = closed
 	p.loop.StopTimer(c.timer)
 	p.conns.Delete(c.ref)
 	s.dialing--
-	if s.redial {
+	if s.redialPending {
 		return
 	}
-	s.redial = true
-	p.loop.At(p.loop.Now()+redialMs, func() {
-		s.redial = false
-		p.refill(s)
+	s.redialPending = true
+	p.loop.At(p.loop.Now()+redialDelayMs, func() {
+		s.redialPending = false
+		p.dialForWaiting(s)
 	})
 }
 
-// Opened is loop's.
+// Opened implements loop.Handler.
 func (c *conn) Opened(lc *loop.Conn) {
-	c.c = lc
-	if c.state == closed { // given up meanwhile
-		lc.Close(closeSlowStart)
+	c.loopConn = lc
+	if c.state == closed { // it timed out in the meantime
+		lc.Close(closeStartupTimeout)
 		return
 	}
-	c.state = greeting
+	c.state = startingUp
 	_ = lc.Write(pgwire.AppendStartup(nil, c.pool.opt.User, c.pool.opt.Database))
 }
 
-// ready makes a connection carry the next attempt, or idle.
-func (c *conn) ready() {
+// serveNext sends the next waiting attempt on a connection that is ready, or puts the connection among the idle ones.
+func (c *conn) serveNext() {
 	c.state = idle
-	c.since = c.pool.loop.Now()
-	// Where the server has moved since, whatever still listens there is another. What it sent beyond its answer
-	// would be taken for the answer to the next request.
+	c.idleSince = c.pool.loop.Now()
+	// If the server's address has changed, another server may be listening at the old one. Data that was received after an
+	// answer would be taken for the answer to the next request.
 	if c.addr != c.server.addr {
-		c.c.Close(closeMoved)
+		c.loopConn.Close(closeAddressChanged)
 		return
 	}
-	if c.in.Buffered() > 0 || !c.c.NoPendingInput() {
-		c.c.Close(closeNotQuiet)
+	if c.input.Buffered() > 0 || !c.loopConn.NoPendingInput() {
+		c.loopConn.Close(closeUnexpectedInput)
 		return
 	}
 	p := c.pool
 	for len(c.server.waiting) > 0 {
 		a := c.server.waiting[0]
-		if p.late(a) { // its time is over, and only the loop has not come to that yet
-			p.drop(a, beechgrade.Skipped)
+		if p.expired(a) { // its timer is due, and the loop has not run it yet
+			p.abort(a, beechgrade.Skipped)
 			continue
 		}
-		p.unqueue(a)
+		p.removeWaiting(a)
 		if p.send(c, a) {
 			return
 		}
 	}
-	p.idleSeq++
-	c.idleNo = p.idleSeq
+	p.lastIdleSeq++
+	c.idleSeq = p.lastIdleSeq
 	c.server.idle = append(c.server.idle, c)
 	p.loop.StopTimer(c.timer)
-	c.timer = p.loop.At(p.loop.Now()+p.opt.IdleTimeoutMs, func() { c.c.Close(closeIdle) })
+	c.timer = p.loop.At(p.loop.Now()+p.opt.IdleTimeoutMs, func() { c.loopConn.Close(closeIdle) })
 }
 
-// carry writes an attempt's query, which tells the server so much time.
-func (c *conn) carry(a *attempt, tellMs int) {
+// writeQuery writes the query of an attempt, with a time limit for the server in milliseconds.
+func (c *conn) writeQuery(a *attempt, timeLimitMs int) {
 	p := c.pool
-	c.unidle()
+	c.removeFromIdle()
 	p.loop.StopTimer(c.timer)
-	p.loop.StopTimer(a.connect)
+	p.loop.StopTimer(a.connectTimer)
 	c.state, c.attempt, a.conn = busy, a, c
-	c.reading, c.answer, c.row, c.outcome = pgwire.NewQueryAnswer(), c.answer[:0], nil, Outcome{}
+	c.parser, c.answer, c.reportRow, c.outcome = pgwire.NewQueryAnswer(), c.answer[:0], nil, Outcome{}
 	if a.query == nil {
 		p.scratch = pgwire.AppendQuery(p.scratch[:0], "SHOW load")
 	} else {
-		p.scratch = a.query.AppendQuery(p.scratch[:0], tellMs)
+		p.scratch = a.query.AppendQuery(p.scratch[:0], timeLimitMs)
 	}
-	c.written = p.loop.Now()
-	a.written = c.written
-	c.rested = c.written - c.since
-	c.sent = false // a write that fails has closed the connection when it returns
-	if c.c.Write(p.scratch) != nil {
+	c.writtenAt = p.loop.Now()
+	a.writtenAt = c.writtenAt
+	c.idleMs = c.writtenAt - c.idleSince
+	c.queryBuffered = false // Closed, which reads it, is called within a Write that fails
+	if c.loopConn.Write(p.scratch) != nil {
 		return
 	}
-	c.sent = true
-	if c.c.UnsentBytes() > 0 && c.attempt == a {
-		c.timer = p.loop.At(p.loop.Now()+wholeMs, func() { c.tooSlow(a) })
+	c.queryBuffered = true
+	if c.loopConn.UnsentBytes() > 0 && c.attempt == a {
+		c.timer = p.loop.At(p.loop.Now()+writeTimeoutMs, func() { c.writeTimedOut(a) })
 	}
 }
 
-// tooSlow ends an attempt whose query the socket has not taken whole: the time that it tells the server is not true any more, and
-// without its last byte it does not run.
-func (c *conn) tooSlow(a *attempt) {
+// writeTimedOut ends an attempt whose query the socket has not accepted completely. The time limit in the query is out of
+// date by now, and a query without its last byte does not run.
+func (c *conn) writeTimedOut(a *attempt) {
 	p := c.pool
-	if c.attempt != a || c.c.UnsentBytes() == 0 {
+	if c.attempt != a || c.loopConn.UnsentBytes() == 0 {
 		return
 	}
-	p.log.Info("a query is not taken whole", "server", c.server.id, "unsent", c.c.UnsentBytes())
+	p.log.Info("query not written in time", "server", c.server.id, "unsent", c.loopConn.UnsentBytes())
 	c.attempt, a.conn = nil, nil
-	c.c.Close(closeUnsent)
-	p.end(a, Outcome{Result: beechgrade.Skipped})
+	c.loopConn.Close(closeWriteTimeout)
+	p.finish(a, Outcome{Result: beechgrade.Skipped})
 }
 
-func (c *conn) unidle() {
+func (c *conn) removeFromIdle() {
 	l := c.server.idle
 	for i := len(l) - 1; i >= 0; i-- {
 		if l[i] == c {
@@ -182,75 +184,77 @@
 	}
 }
 
-// Data is loop's.
+// Data implements loop.Handler.
 func (c *conn) Data(b []byte) {
-	if c.state == idle { // nothing was asked: it would answer what is asked next
-		c.pool.log.Warn("server sent what was not asked for", "server", c.server.id, "bytes", len(b))
-		c.c.Close(closeNotQuiet)
+	if c.state == idle { // the data would be taken for the answer to the next request
+		c.pool.log.Warn("unsolicited data from server", "server", c.server.id, "bytes", len(b))
+		c.loopConn.Close(closeUnexpectedInput)
 		return
 	}
-	c.in.Feed(b)
-	for c.state == greeting || c.state == busy {
-		m, ok, err := c.reading.Next(&c.in)
+	c.input.Feed(b)
+	for c.state == startingUp || c.state == busy {
+		m, ok, err := c.parser.Next(&c.input)
 		if err != nil {
-			c.spoilt(err)
+			c.handleProtocolError(err)
 			return
 		}
 		if !ok {
 			break
 		}
-		c.message(m)
+		c.handleMessage(m)
 	}
-	c.count()
-	if p := c.pool; c.attempt != nil && c.held > keepAnswer && p.held > p.opt.MemoryBytes()/heldPart {
-		p.log.Warn("no memory for an answer", "server", c.server.id, "bytes", c.held, "all", p.held)
-		p.drop(c.attempt, beechgrade.Failed)
+	c.updateAnswerBytes()
+	if p := c.pool; c.attempt != nil && c.answerBytes > maxKeptBuffer && p.answerBytes > p.opt.MemoryBytes()/answerMemoryDivisor {
+		p.log.Warn("no memory for an answer", "server", c.server.id, "bytes", c.answerBytes, "all", p.answerBytes)
+		p.abort(c.attempt, beechgrade.Failed)
 		return
 	}
-	c.watch()
+	c.resetStallTimer()
 }
 
-// Closed is loop's.
+// Closed implements loop.Handler.
 func (c *conn) Closed(error) {
 	p := c.pool
-	was, unsent := c.state, c.c.UnsentBytes()
-	if was == closed {
+	prevState, unsent := c.state, c.loopConn.UnsentBytes()
+	if prevState == closed {
 		return
 	}
-	if was == greeting {
-		c.refused()
+	if prevState == startingUp {
+		c.startupFailed()
 		return
 	}
-	c.c.DiscardUnsent() // or the rest of a query that is told as never sent might still arrive
+	c.loopConn.DiscardUnsent() // otherwise the rest of a query that is reported as not sent might still arrive
 	c.state = closed
-	c.count()
+	c.updateAnswerBytes()
 	p.loop.StopTimer(c.timer)
 	p.conns.Delete(c.ref)
-	c.unidle()
+	c.removeFromIdle()
 	if a := c.attempt; a != nil {
 		a.conn = nil
-		if c.reading.Empty() && p.loop.Now()-c.written <= brokeMs {
-			p.wear.note(p.loop.Now(), c.rested, true)
+		if c.parser.Empty() && p.loop.Now()-c.writtenAt <= lossWindowMs {
+			p.idleTimeout.record(p.loop.Now(), c.idleMs, true)
 		}
 		r := beechgrade.Reset
-		// Where gnet has dropped what it buffered, unsent is 0 and the attempt may have run: the safe side.
-		if !c.sent || unsent > 0 { // its last byte never left: it cannot have run
+		// A query whose last byte was not sent cannot have run. If nothing is unsent, the attempt may have run, so it stays
+		// a reset.
+		if !c.queryBuffered || unsent > 0 {
 			r = beechgrade.Unreachable
 		}
-		if c.reading.ErrorCode == "53300" || c.reading.ErrorCode == "57P03" {
+		if c.parser.ErrorCode == "53300" || c.parser.ErrorCode == "57P03" {
 			r = beechgrade.Overloaded
 		}
-		p.end(a, Outcome{Result: r, Role: c.outcome.Role, Position: c.outcome.Position, HasPosition: c.outcome.HasPosition})
+		p.finish(a, Outcome{Result: r, Role: c.outcome.Role, Position: c.outcome.Position, HasPosition: c.outcome.HasPosition})
 	}
-	p.refill(c.server)
+	p.dialForWaiting(c.server)
 }
 
-// refused ends a connection that broke while coming up. A server with too many turns away in words.
-func (c *conn) refused() {
-	if c.reading.ErrorCode == "53300" && len(c.server.waiting) >= c.server.dialing && len(c.server.waiting) > 0 {
+// startupFailed ends a connection that was closed during its startup. A server that has too many connections sends an error
+// first, which ends the attempt that has waited longest as overloaded.
+func (c *conn) startupFailed() {
+	if c.parser.ErrorCode == "53300" && len(c.server.waiting) >= c.server.dialing && len(c.server.waiting) > 0 {
 		a := c.server.waiting[0]
-		c.pool.unqueue(a)
-		defer c.pool.end(a, Outcome{Result: beechgrade.Overloaded})
+		c.pool.removeWaiting(a)
+		defer c.pool.finish(a, Outcome{Result: beechgrade.Overloaded})
 	}
-	c.failed()
+	c.connectFailed()
 }
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -1,5 +1,5 @@
-// Package backend keeps the connections to the servers and carries out attempts and probes on them. It
-// decides nothing about requests: it reports how each attempt and probe ended.
+// Package backend manages the connections to the servers and runs attempts and probes on them. It makes no decisions about
+// requests: it reports how each attempt and probe ended.
 package backend
 
 import (
@@ -12,79 +12,92 @@
 	"beechgrade/internal/slots"
 )
 
-// Query is a request as a server is asked it.
+// Query is a request in the form in which it is sent to a server.
 type Query interface {
-	AppendQuery(dst []byte, waitMs int) []byte
+	// AppendQuery appends the query message to dst. It tells the server the time limit, in milliseconds.
+	AppendQuery(dst []byte, timeLimitMs int) []byte
 }
 
-// Events receives the ends of attempts and probes. Its methods may be called from within StartAttempt, CancelAttempt and Probe.
+// Events receives the outcomes of attempts and probes. Its methods may be called from within StartAttempt, CancelAttempt and
+// Probe.
 type Events interface {
-	AttemptEnded(t AttemptID, o Outcome)
+	AttemptEnded(id AttemptID, o Outcome)
 	ProbeEnded(server string, o Outcome)
-	// BeforeSend is called right before an attempt that times out at until is written. It returns the time limit to send to
+	// BeforeSend is called right before an attempt that times out at timeoutAt is written. It returns the time limit to send to
 	// the server, in milliseconds, and whether the attempt may be sent.
-	BeforeSend(t AttemptID, until float64) (tellMs int, ok bool)
+	BeforeSend(id AttemptID, timeoutAt float64) (timeLimitMs int, ok bool)
 }
 
-// Options are the pool's limits.
+// Options are the settings of a Pool.
 type Options struct {
 	User, Database    string
-	Roles             [2]string // names of the primary's and a replica's role
-	PositionParameter string
-	ReportFields      []string // that a load report has
-	ConnectTimeoutMs  float64
+	Roles             [2]string  // the names of the roles primary and replica
+	PositionParameter string     // the parameter in which servers report their position
+	ReportFields      []string   // the fields of a load report
+	ConnectTimeoutMs  float64    // for a connection to become ready, for an attempt to get one, and for a whole probe
 	IdleTimeoutMs     float64    // connections that are idle for this long are closed
-	MaxConns          func() int // over all servers, by the descriptors left now
-	MemoryBytes       func() int // of the machine, in bytes
+	MaxConns          func() int // returns the limit for all servers together, which follows the free descriptors
+	MemoryBytes       func() int // returns the memory limit of the process
 }
 
 const (
-	heldPart   = 8       // of the memory, answers that are coming in may take 1 in so many
-	keepAnswer = 1 << 14 // of a buffer, from one answer to the next
-	stallMs    = 150     // within an answer that has begun, after which its rest will not come...
-	stallOnce  = 600     // ...for what must not run twice, and so has no second chance
-	brokeMs    = 50      // a connection that breaks so soon after a request did so because of it
-	wholeMs    = 100     // until a query is written whole: what it says of the time left holds for 150 ms
-	aheadMs    = 100     // of the clock here that a position may be: commits are rounded up, clocks differ
+	// answerMemoryDivisor limits the buffered bytes of all incomplete answers to this fraction of the memory: 1/8.
+	answerMemoryDivisor = 8
+	// maxKeptBuffer is the capacity, in bytes, up to which an answer buffer is kept for the next answer.
+	maxKeptBuffer = 1 << 14
+	// stallTimeoutMs is how long an answer that has begun may make no progress, in milliseconds, before it is given up.
+	stallTimeoutMs = 150
+	// atMostOnceStallTimeoutMs takes the place of stallTimeoutMs for requests that must not run twice. It is longer because
+	// they cannot be retried.
+	atMostOnceStallTimeoutMs = 600
+	// lossWindowMs is the time after a query, in milliseconds, within which a broken connection is attributed to the query.
+	lossWindowMs = 50
+	// writeTimeoutMs is how long writing a query may take, in milliseconds. The time limit in the query may be out of date
+	// by at most 150 ms when it arrives.
+	writeTimeoutMs = 100
+	// maxPositionLeadMs is how far a server's position may be ahead of this machine's clock, in milliseconds. Commit times
+	// are rounded up, and clocks differ.
+	maxPositionLeadMs = 100
 )
 
-// Pool holds the connections to all servers.
+// Pool holds the connections to all servers. All its methods must be called on the event loop.
 type Pool struct {
-	loop     *loop.Loop
-	log      *slog.Logger
-	opt      Options
-	events   Events
-	servers  map[string]*server
-	attempts slots.Table[*attempt]
-	conns    slots.Table[*conn]
-	idleSeq  uint64
-	wear     wear
-	held     int // bytes of answers that are coming in
-	scratch  []byte
-}
-
+	loop        *loop.Loop
+	log         *slog.Logger
+	opt         Options
+	events      Events
+	servers     map[string]*server
+	attempts    slots.Table[*attempt]
+	conns       slots.Table[*conn]
+	lastIdleSeq uint64
+	idleTimeout idleTimeoutEstimate
+	answerBytes int // buffered bytes of all incomplete answers
+	scratch     []byte
+}
+
+// server is a server with its idle connections and waiting attempts.
 type server struct {
-	id      string
-	addr    string
-	idle    []*conn    // the one used last at the end
-	waiting []*attempt // without a connection, oldest first; a probe has an attempt too
-	dialing int        // connections on their way up
-	redial  bool       // one is to be tried again after this machine could not make it
+	id            string
+	addr          string
+	idle          []*conn    // the most recently used one is the last
+	waiting       []*attempt // attempts and probes without a connection, oldest first
+	dialing       int        // the number of connections that are not ready yet
+	redialPending bool       // a dial failed for lack of local resources and will be repeated
 }
 
-// New makes a pool.
+// New returns a pool without servers.
 func New(l *loop.Loop, log *slog.Logger, opt Options, events Events) *Pool {
 	return &Pool{loop: l, log: log, opt: opt, events: events, servers: map[string]*server{},
-		wear: newWear()}
+		idleTimeout: newIdleTimeoutEstimate()}
 }
 
-// SetTimeouts sets the connect time-out and the idle time-out. Timers that already run keep their time.
+// SetTimeouts sets the connect time-out and the idle time-out, in milliseconds. Running timers are not changed.
 func (p *Pool) SetTimeouts(connectMs, idleMs float64) {
 	p.opt.ConnectTimeoutMs, p.opt.IdleTimeoutMs = connectMs, idleMs
 }
 
-// SetAddress tells where a server listens. Connections to an address that it has left are closed, those in
-// use once they are free.
+// SetAddress adds a server, or changes its address. Connections to the old address are closed, those in use as soon as they
+// are free.
 func (p *Pool) SetAddress(id, addr string) {
 	s := p.servers[id]
 	if s == nil {
@@ -93,18 +106,18 @@
 	}
 	if s.addr != addr {
 		s.addr = addr
-		s.closeIdle(closeMoved)
+		s.closeIdle(closeAddressChanged)
 	}
 }
 
 func (s *server) closeIdle(why loop.Reason) {
 	for len(s.idle) > 0 {
-		s.idle[0].c.Close(why)
+		s.idle[0].loopConn.Close(why)
 	}
 }
 
-// Drain has a server carry nothing more than what has been sent to it: what waits for a connection there is told as
-// never sent, as the news binds the moment at which it would be.
+// Drain closes the idle connections to a server and ends the attempts that wait for one as skipped, because nothing may be
+// sent to a draining server. Attempts that were sent continue.
 func (p *Pool) Drain(id string) {
 	if s := p.servers[id]; s != nil {
 		s.closeIdle(closeDraining)
@@ -112,22 +125,23 @@
 	}
 }
 
-// skipWaiting ends what waits for a connection to a server. What that leads to may have more wait there.
+// skipWaiting ends the attempts that wait for a connection to a server. It iterates over a copy because the calls that
+// report them may add further attempts.
 func (p *Pool) skipWaiting(s *server) {
 	for _, a := range slices.Clone(s.waiting) {
-		p.drop(a, beechgrade.Skipped)
+		p.abort(a, beechgrade.Skipped)
 	}
 }
 
-// Remove drops a server that has left the list. Its connections in use stay open until their attempts have ended.
+// Remove removes a server. Its connections in use stay open until their attempts have ended.
 func (p *Pool) Remove(id string) {
 	s := p.servers[id]
 	if s == nil {
 		return
 	}
-	s.closeIdle(closeGone)
+	s.closeIdle(closeRemoved)
 	delete(p.servers, id)
-	s.addr = "" // its connections are closed once they are free
+	s.addr = "" // so that connections in use are closed once they are free
 	p.skipWaiting(s)
 }
 
@@ -143,55 +157,56 @@
 // ConnCount returns the number of connections, including those that are being opened.
 func (p *Pool) ConnCount() int { return p.conns.Len() }
 
-// dial opens one more connection, if the budget allows it; else those that wait take what comes free.
+// dial opens a connection if MaxConns allows it. Otherwise waiting attempts use connections that become free.
 func (p *Pool) dial(s *server) {
 	if p.conns.Len() >= p.opt.MaxConns() && !p.CloseOldestIdle() {
-		p.log.Debug("no descriptor left for a connection", "server", s.id, "conns", p.conns.Len())
+		p.log.Debug("connection limit reached", "server", s.id, "conns", p.conns.Len())
 		return
 	}
-	c := &conn{pool: p, server: s, addr: s.addr, in: pgwire.NewReader(pgwire.MaxMessage), reading: pgwire.NewStartupAnswer()}
+	c := &conn{pool: p, server: s, addr: s.addr, input: pgwire.NewReader(pgwire.MaxMessage), parser: pgwire.NewStartupAnswer()}
 	c.ref = p.conns.Put(c)
 	s.dialing++
 	c.timer = p.loop.At(p.loop.Now()+p.opt.ConnectTimeoutMs, func() {
-		if c.state == greeting {
-			c.c.Close(closeSlowStart)
+		if c.state == startingUp {
+			c.loopConn.Close(closeStartupTimeout)
 		} else {
-			c.failed()
+			c.connectFailed()
 		}
 	})
 	p.loop.Dial(s.addr, p.opt.ConnectTimeoutMs, c, func(err error) {
 		if c.state != dialing {
 			return
 		}
-		p.log.Debug("connect", "server", s.id, "err", err)
+		p.log.Debug("connect failed", "server", s.id, "err", err)
 		if loop.IsLocal(err) {
-			c.shortOfResources()
+			c.connectFailedLocally()
 			return
 		}
-		c.failed()
+		c.connectFailed()
 	})
 }
 
-// CloseOldestIdle closes the connection that has been idle longest and reports whether there was one.
+// CloseOldestIdle closes the connection that has been idle for the longest time, and reports whether there was an idle one.
 func (p *Pool) CloseOldestIdle() bool {
 	var oldest *conn
 	p.conns.Each(func(_ slots.Ref, c *conn) {
-		if c.state == idle && (oldest == nil || c.idleNo < oldest.idleNo) {
+		if c.state == idle && (oldest == nil || c.idleSeq < oldest.idleSeq) {
 			oldest = c
 		}
 	})
 	if oldest == nil {
 		return false
 	}
-	oldest.c.Close(closeRoom)
+	oldest.loopConn.Close(closeForDescriptor)
 	return true
 }
 
-// redialMs is the pause after a connection that this machine could not make, until the next is tried.
-const redialMs = 10
+// redialDelayMs is the delay, in milliseconds, before a dial that failed for lack of local resources is repeated.
+const redialDelayMs = 10
 
-// refill dials for those that wait for a connection when one they might have had is lost.
-func (p *Pool) refill(s *server) {
+// dialForWaiting opens a connection if more attempts wait than connections are being opened. It is called after a connection
+// that they might have used has closed.
+func (p *Pool) dialForWaiting(s *server) {
 	if s.dialing < len(s.waiting) {
 		p.dial(s)
 	}
