--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,4 +1,4 @@
-// Package discovery asks for the list of servers over HTTP: the whole of it, or a watch on its changes.
+// Package discovery requests the list of servers over HTTP: the full list, or a watch that reports changes.
 package discovery
 
 import (
@@ -15,18 +15,18 @@
 	"beechgrade/internal/metrics"
 )
 
-// silentMs is how long a call may bring nothing: a watch shows a sign of life every 2 s. A machine that
-// vanished, or a connection forgotten on the way, closes nothing.
-const silentMs = 2500
+// silenceTimeoutMs is how long a call may receive nothing, in milliseconds. A watch sends a keep-alive every 2 s. A machine
+// that has failed, or a connection that was dropped on the path, does not close the connection.
+const silenceTimeoutMs = 2500
 
-// maxInstances bounds a list: more than that is no group of servers but a fault.
+// maxInstances is the maximum length of a list. A longer one is taken for a fault.
 const maxInstances = 10000
 
-// closeOver says that the call on a connection is over.
-const closeOver loop.Reason = "discovery.over"
+// closeCallEnded is the reason for closing the connection of a call that has ended.
+const closeCallEnded loop.Reason = "discovery.over"
 
-// connectMs bounds a connection's coming up.
-const connectMs = 1000
+// connectTimeoutMs is the time-out for opening a connection, in milliseconds.
+const connectTimeoutMs = 1000
 
 // Instance is one server in the list.
 type Instance struct {
@@ -41,35 +41,35 @@
 	Role        string  `json:"role"`
 }
 
-// List is one state of the list, or the changes since the last.
+// List is the full list, or the changes since the previous generation.
 type List struct {
 	Generation int64      `json:"generation"`
-	Complete   bool       `json:"reset"` // the list is complete, not a set of changes
+	Complete   bool       `json:"reset"` // the list is the full list, not a set of changes
 	Instances  []Instance `json:"instances"`
 }
 
-// Events is told of lists and of calls that failed or ended.
+// Events receives lists, and is notified of calls that failed and watches that ended.
 type Events interface {
 	ListReceived(l *List)
 	ListFailed()
 }
 
-// Client asks discovery. It holds one watch and one call for the whole list at most.
+// Client is a client of the discovery service. It has at most one open watch and one open request for the full list.
 type Client struct {
-	loop   *loop.Loop
-	log    *slog.Logger
-	addr   string
-	events Events
-	gen    int64
-	watch  *call
-	fetch  *call // for the whole list
-	moved  bool  // no whole list has come from this address: what is held is not its own
-	ahead  bool  // the watch that is open was not asked for yet, but by Move
+	loop          *loop.Loop
+	log           *slog.Logger
+	addr          string
+	events        Events
+	generation    int64
+	watch         *call
+	fetch         *call // the request for the full list
+	needFullList  bool  // the known list is from another address or count of generations: changes to it cannot be used
+	watchReopened bool  // the open watch was started by SetAddress; the next call of Watch keeps it
 }
 
-// New makes a client that has the list as of the given generation.
-func New(l *loop.Loop, log *slog.Logger, addr string, gen int64, events Events) *Client {
-	return &Client{loop: l, log: log, addr: addr, gen: gen, events: events}
+// New returns a client that knows the list of the given generation.
+func New(l *loop.Loop, log *slog.Logger, addr string, generation int64, events Events) *Client {
+	return &Client{loop: l, log: log, addr: addr, generation: generation, events: events}
 }
 
 // SetAddress sends all further calls to another address. Open calls at the old address are dropped without being reported as
@@ -79,139 +79,140 @@
 	if addr == c.addr {
 		return
 	}
-	c.addr, c.gen, c.moved = addr, 0, true
+	c.addr, c.generation, c.needFullList = addr, 0, true
 	if old := c.fetch; old != nil {
 		old.end(nil)
 		c.Fetch()
 	}
-	c.ahead = false
+	c.watchReopened = false
 	c.Watch()
-	c.ahead = true
+	c.watchReopened = true
 }
 
-// Watch asks for changes from the list that is held on, in place of a watch that may be open.
+// Watch starts a watch for changes since the known generation. It replaces an open watch, unless SetAddress has started that
+// one.
 func (c *Client) Watch() {
-	if c.ahead && c.watch != nil {
-		c.ahead = false
+	if c.watchReopened && c.watch != nil {
+		c.watchReopened = false
 		return
 	}
 	if old := c.watch; old != nil {
 		c.watch = nil
 		old.end(nil)
 	}
-	from := c.gen
-	if c.moved {
+	from := c.generation
+	if c.needFullList {
 		from = 0
 	}
-	c.watch = c.call(fmt.Sprintf("/v1/endpoints?watch=1&from=%d", from), true)
+	c.watch = c.startCall(fmt.Sprintf("/v1/endpoints?watch=1&from=%d", from), true)
 }
 
-// Fetch asks for the whole list once, unless that is being asked for.
+// Fetch requests the full list, unless such a request is already open.
 func (c *Client) Fetch() {
 	if c.fetch == nil {
-		c.fetch = c.call("/v1/endpoints", false)
+		c.fetch = c.startCall("/v1/endpoints", false)
 	}
 }
 
-// call is one HTTP call; it is the loop's Handler.
+// call is one HTTP request with its connection. It implements loop.Handler.
 type call struct {
-	client *Client
-	path   string
-	watch  bool
-	conn   *loop.Conn
-	reply  reply
-	timer  *deadline.Timer
-	list   *List // that a call that is no watch has brought; it counts once the answer has ended in order
-	told   bool  // it has brought a list that counts
-	over   bool
+	client       *Client
+	path         string
+	watch        bool
+	conn         *loop.Conn
+	response     response
+	timer        *deadline.Timer
+	list         *List // the last list that was received; without a watch, it is used once the response is complete
+	listReported bool  // a list was passed to handleList
+	ended        bool
 }
 
-func (c *Client) call(path string, watch bool) *call {
+func (c *Client) startCall(path string, watch bool) *call {
 	k := &call{client: c, path: path, watch: watch}
-	k.alive()
-	c.loop.Dial(c.addr, connectMs, k, k.end)
+	k.resetSilenceTimer()
+	c.loop.Dial(c.addr, connectTimeoutMs, k, k.end)
 	return k
 }
 
-// alive puts off the time at which the call counts as dead.
-func (k *call) alive() {
+// resetSilenceTimer restarts the time-out for receiving nothing.
+func (k *call) resetSilenceTimer() {
 	l := k.client.loop
 	l.StopTimer(k.timer)
-	k.timer = l.At(l.Now()+silentMs, func() { k.end(errors.New("silent for too long")) })
+	k.timer = l.At(l.Now()+silenceTimeoutMs, func() { k.end(errors.New("nothing received within the time-out")) })
 }
 
-// end ends the call; an error, or the end of a watch, is told as a failure.
+// end ends the call. A non-nil error is reported as a failure, except for a watch that has been replaced.
 func (k *call) end(err error) {
-	if k.over {
+	if k.ended {
 		return
 	}
-	k.over = true
+	k.ended = true
 	c := k.client
 	if c.fetch == k {
 		c.fetch = nil
 	}
 	c.loop.StopTimer(k.timer)
 	if k.conn != nil {
-		k.conn.Close(closeOver)
+		k.conn.Close(closeCallEnded)
 	}
-	wanted := !k.watch || c.watch == k
+	expected := !k.watch || c.watch == k
 	if c.watch == k {
 		c.watch = nil
 	}
-	if err != nil && wanted {
-		c.ahead = false // the watch asked for because of this has to bring what this did not
+	if err != nil && expected {
+		c.watchReopened = false // a new watch has to report what this call did not
 		c.log.Info("discovery", "call", k.path, "err", err)
 		c.loop.Metrics().Add(metrics.DiscoveryCalls, "failed")
 		c.events.ListFailed()
 	}
 }
 
-// Opened is loop's.
+// Opened implements loop.Handler.
 func (k *call) Opened(conn *loop.Conn) {
 	k.conn = conn
-	if k.over {
-		conn.Close(closeOver)
+	if k.ended {
+		conn.Close(closeCallEnded)
 		return
 	}
 	_ = conn.Write([]byte("GET " + k.path + " HTTP/1.1\r\nHost: " + k.client.addr +
 		"\r\nAccept: application/json\r\n\r\n"))
 }
 
-// Data is loop's.
+// Data implements loop.Handler.
 func (k *call) Data(b []byte) {
-	if k.over {
+	if k.ended {
 		return
 	}
-	k.alive()
-	if err := k.reply.feed(b, k.value); err != nil {
+	k.resetSilenceTimer()
+	if err := k.response.feed(b, k.handleValue); err != nil {
 		k.end(err)
 		return
 	}
-	if k.reply.inBody && k.reply.status != http.StatusOK {
-		k.end(fmt.Errorf("status %d", k.reply.status))
+	if k.response.inBody && k.response.status != http.StatusOK {
+		k.end(fmt.Errorf("status %d", k.response.status))
 		return
 	}
-	if k.reply.ended {
-		k.finish()
+	if k.response.ended {
+		k.handleEnd()
 	}
 }
 
-// finish ends a call whose answer has come to its end.
-func (k *call) finish() {
+// handleEnd ends a call whose response is complete.
+func (k *call) handleEnd() {
 	switch {
 	case k.watch:
-		k.end(errors.New("the watch ended"))
+		k.end(errors.New("the server ended the watch"))
 	case k.list == nil:
-		k.end(errors.New("no list in the answer"))
+		k.end(errors.New("no list in the response"))
 	default:
-		k.listed(k.list)
+		k.handleList(k.list)
 		k.end(nil)
 	}
 }
 
-// value reads one list.
-func (k *call) value(b []byte) error {
-	if k.over {
+// handleValue parses one JSON value of the response as a list.
+func (k *call) handleValue(b []byte) error {
+	if k.ended {
 		return nil
 	}
 	var l List
@@ -219,49 +220,49 @@
 		return fmt.Errorf("list: %w", err)
 	}
 	if len(l.Instances) > maxInstances || l.Generation < 0 {
-		return fmt.Errorf("list: generation %d with %d instances", l.Generation, len(l.Instances))
+		return fmt.Errorf("list out of range: generation %d with %d instances", l.Generation, len(l.Instances))
 	}
 	if k.list = &l; k.watch {
-		k.listed(&l)
+		k.handleList(&l)
 	}
 	return nil
 }
 
-// listed takes a list over.
-func (k *call) listed(l *List) {
-	c, first := k.client, !k.told
-	k.told = true
+// handleList reports a list, unless a newer one has been reported since the call began.
+func (k *call) handleList(l *List) {
+	c, first := k.client, !k.listReported
+	k.listReported = true
 	c.loop.Metrics().Add(metrics.DiscoveryCalls, "listed")
 	switch {
-	case l.Generation >= c.gen || k.watch && l.Complete:
+	case l.Generation >= c.generation || k.watch && l.Complete:
 	case !k.watch:
-		k.end(fmt.Errorf("generation %d, older than %d, which the watch has brought", l.Generation, c.gen))
+		k.end(fmt.Errorf("generation %d is older than %d, which the watch has reported", l.Generation, c.generation))
 		return
 	case first:
-		c.moved = true // it counts anew, from what is not known
+		c.needFullList = true // the server restarted its count of generations, so the base of its changes is unknown
 	default:
-		return // a whole list that was asked for has overtaken it
+		return // a full list with a newer generation was fetched in the meantime
 	}
-	c.gen = l.Generation
-	if c.moved && k.watch && !l.Complete { // changes since what? The list that is held is another's
+	c.generation = l.Generation
+	if c.needFullList && k.watch && !l.Complete { // these changes do not apply to the known list
 		c.Fetch()
 	}
-	c.moved = c.moved && !l.Complete
+	c.needFullList = c.needFullList && !l.Complete
 	c.events.ListReceived(l)
 }
 
-// Closed is loop's.
+// Closed implements loop.Handler.
 func (k *call) Closed(err error) {
 	k.conn = nil
-	if k.over {
+	if k.ended {
 		return
 	}
 	if err == nil {
 		err = errors.New("connection closed")
 	}
 	if errors.Is(err, io.EOF) {
-		if err = k.reply.eof(); err == nil {
-			k.finish()
+		if err = k.response.handleEOF(); err == nil {
+			k.handleEnd()
 			return
 		}
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -13,44 +13,44 @@
 	"beechgrade/internal/loop"
 )
 
-// told are the generations of the lists that were told, and 0 for each failure.
-type told chan int64
+// generations receives the generation of each reported list, and 0 for each failure.
+type generations chan int64
 
-func (c told) ListReceived(l *List) { c <- l.Generation }
-func (c told) ListFailed()          { c <- 0 }
+func (c generations) ListReceived(l *List) { c <- l.Generation }
+func (c generations) ListFailed()          { c <- 0 }
 
-type nobody struct{}
+type noopHandler struct{}
 
-func (nobody) Opened(*loop.Conn) {}
-func (nobody) Data([]byte)       {}
-func (nobody) Closed(error)      {}
+func (noopHandler) Opened(*loop.Conn) {}
+func (noopHandler) Data([]byte)       {}
+func (noopHandler) Closed(error)      {}
 
-// rig is a client on a loop of its own, with a clock set by hand, and the calls that come to its discovery.
-type rig struct {
+// testClient is a client on its own loop, with a clock that only the test advances, and a listener in place of the service.
+type testClient struct {
 	t      *testing.T
 	clk    *clock.Manual
 	loop   *loop.Loop
 	server net.Listener
 	client *Client
-	events told
+	events generations
 }
 
-func newRig(t *testing.T) *rig {
-	r := &rig{t: t, clk: &clock.Manual{Ms: 1e6}, events: make(told, 9), server: listen(t)}
+func newTestClient(t *testing.T) *testClient {
+	tc := &testClient{t: t, clk: &clock.Manual{Ms: 1e6}, events: make(generations, 9), server: listen(t)}
 	started, ended := make(chan struct{}), make(chan error, 1)
-	r.loop = loop.New(r.clk, slog.New(slog.DiscardHandler), func() loop.Handler { return nobody{} }, func() {
-		r.client = New(r.loop, slog.New(slog.DiscardHandler), r.server.Addr().String(), 4, r.events)
+	tc.loop = loop.New(tc.clk, slog.New(slog.DiscardHandler), func() loop.Handler { return noopHandler{} }, func() {
+		tc.client = New(tc.loop, slog.New(slog.DiscardHandler), tc.server.Addr().String(), 4, tc.events)
 		close(started)
 	})
-	go func() { ended <- r.loop.Run("127.0.0.1:0") }()
+	go func() { ended <- tc.loop.Run("127.0.0.1:0") }()
 	<-started
 	t.Cleanup(func() {
-		r.loop.Shutdown()
+		tc.loop.Shutdown()
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
 	})
-	return r
+	return tc
 }
 
 func listen(t *testing.T) net.Listener {
@@ -62,48 +62,49 @@
 	return l
 }
 
-// do runs f on the loop; what is done after this comes after it.
-func (r *rig) do(f func()) {
+// runOnLoop runs f on the loop and waits until it has returned.
+func (tc *testClient) runOnLoop(f func()) {
 	done := make(chan struct{})
-	r.loop.Post(func() { f(); close(done) })
+	tc.loop.Post(func() { f(); close(done) })
 	<-done
 }
 
-func (r *rig) pass(ms float64) { r.do(func() { r.clk.Ms += ms }) }
+func (tc *testClient) advance(ms float64) { tc.runOnLoop(func() { tc.clk.Ms += ms }) }
 
-// call takes the next call, which has to ask for the path.
-func (r *rig) call(l net.Listener, path string) *net.TCPConn {
-	r.t.Helper()
+// acceptCall accepts the next connection and reads its request, which must be for path.
+func (tc *testClient) acceptCall(l net.Listener, path string) *net.TCPConn {
+	tc.t.Helper()
 	_ = l.(*net.TCPListener).SetDeadline(time.Now().Add(20 * time.Second))
 	c, err := l.Accept()
 	if err != nil {
-		r.t.Fatal(err)
+		tc.t.Fatal(err)
 	}
-	r.t.Cleanup(func() { _ = c.Close() })
+	tc.t.Cleanup(func() { _ = c.Close() })
 	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
 	q, err := http.ReadRequest(bufio.NewReader(c))
 	if err != nil || q.URL.String() != path {
-		r.t.Fatalf("asked %v, error %v; want %s", q, err, path)
+		tc.t.Fatalf("got request %v, error %v; want path %s", q, err, path)
 	}
 	return c.(*net.TCPConn)
 }
 
-func (r *rig) say(c net.Conn, s string) {
-	r.t.Helper()
+func (tc *testClient) write(c net.Conn, s string) {
+	tc.t.Helper()
 	if _, err := c.Write([]byte(s)); err != nil {
-		r.t.Fatal(err)
+		tc.t.Fatal(err)
 	}
 }
 
-func (r *rig) next(want int64) {
-	r.t.Helper()
+// expect waits for the next event, which must be the generation want.
+func (tc *testClient) expect(want int64) {
+	tc.t.Helper()
 	select {
-	case got := <-r.events:
+	case got := <-tc.events:
 		if got != want {
-			r.t.Fatalf("told %d, want %d", got, want)
+			tc.t.Fatalf("got generation %d, want %d", got, want)
 		}
 	case <-time.After(20 * time.Second):
-		r.t.Fatalf("not told: %d", want)
+		tc.t.Fatalf("no event within 20 s, want generation %d", want)
 	}
 }
 
@@ -112,117 +113,121 @@
 	noLength = "HTTP/1.1 200 OK\r\n\r\n"
 )
 
-// TestSilentWatchIsDead guards against waiting for ever on a discovery that vanished: nothing closes such a connection, and
-// drains would go unheard. A sign of life puts the end off.
-func TestSilentWatchIsDead(t *testing.T) {
-	r := newRig(t)
-	r.do(r.client.Watch)
-	far := r.call(r.server, "/v1/endpoints?watch=1&from=4")
+// TestSilentWatchTimesOut guards against waiting forever for a discovery service that has failed without closing the
+// connection. Drains would be missed. Each keep-alive restarts the time-out.
+func TestSilentWatchTimesOut(t *testing.T) {
+	tc := newTestClient(t)
+	tc.runOnLoop(tc.client.Watch)
+	serverConn := tc.acceptCall(tc.server, "/v1/endpoints?watch=1&from=4")
 	const list = "11\r\n{\"generation\":5}\n\r\n"
-	r.say(far, chunked+list)
-	r.next(5)
-	r.pass(2400) // signs of life come every 2 s
-	r.say(far, list)
-	r.next(5)
-	r.pass(2400)
-	r.say(far, list)
-	r.next(5)
-	r.pass(3000) // what is told counts as known after 6 s, and the next watch needs some of them
-	r.next(0)
+	tc.write(serverConn, chunked+list)
+	tc.expect(5)
+	tc.advance(2400) // the service sends a keep-alive every 2 s
+	tc.write(serverConn, list)
+	tc.expect(5)
+	tc.advance(2400)
+	tc.write(serverConn, list)
+	tc.expect(5)
+	tc.advance(3000) // a change must be known within 6 s, and opening the next watch takes part of that time
+	tc.expect(0)
 }
 
-// TestHowAnAnswerEnds: a list that comes in pieces, over many lines and without a length counts once its answer has ended in
-// order, and not before; an answer that is reset on the way is no list, though all brackets are closed.
-func TestHowAnAnswerEnds(t *testing.T) {
+// TestEndOfResponse: a list may be received in parts, on many lines and without a content length. It is used only after its
+// response has ended regularly. A response that ends in a reset is not used, even if the JSON value in it is complete.
+func TestEndOfResponse(t *testing.T) {
 	const list = "{\n  \"generation\": 7,\n  \"reset\": true,\n  \"instances\": [\n    {\n      \"instanceId\": \"s-1\"\n    }\n  ]\n}\n"
 	for name, c := range map[string]struct {
-		pieces []string
-		reset  bool
-		want   int64
+		parts []string
+		reset bool
+		want  int64
 	}{
-		"no length":          {[]string{noLength, list[:9], list[9:40], list[40:]}, false, 7},
-		"no length, reset":   {[]string{noLength, list}, true, 0},
-		"no length, half":    {[]string{noLength, list[:40]}, false, 0},
-		"a length":           {[]string{fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(list)), list}, false, 7},
-		"chunked, cut off":   {[]string{fmt.Sprintf("%s%x\r\n%s\r\n", chunked, len(list), list)}, false, 0},
-		"chunked, two parts": {[]string{fmt.Sprintf("%s9\r\n%s\r\n", chunked, list[:9]), fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(list)-9, list[9:])}, false, 7},
+		"no length":            {[]string{noLength, list[:9], list[9:40], list[40:]}, false, 7},
+		"no length, reset":     {[]string{noLength, list}, true, 0},
+		"no length, truncated": {[]string{noLength, list[:40]}, false, 0},
+		"content length":       {[]string{fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(list)), list}, false, 7},
+		"chunked, truncated":   {[]string{fmt.Sprintf("%s%x\r\n%s\r\n", chunked, len(list), list)}, false, 0},
+		"chunked, two parts": {[]string{fmt.Sprintf("%s9\r\n%s\r\n", chunked, list[:9]),
+			fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(list)-9, list[9:])}, false, 7},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t)
-			r.do(r.client.Fetch)
-			far := r.call(r.server, "/v1/endpoints")
-			for _, piece := range c.pieces {
-				r.say(far, piece)
+			tc := newTestClient(t)
+			tc.runOnLoop(tc.client.Fetch)
+			serverConn := tc.acceptCall(tc.server, "/v1/endpoints")
+			for _, part := range c.parts {
+				tc.write(serverConn, part)
 			}
 			if c.reset {
-				_ = far.SetLinger(0)
+				_ = serverConn.SetLinger(0)
 			}
-			_ = far.Close()
-			r.next(c.want)
-			r.do(func() {})
-			if len(r.events) > 0 {
-				t.Errorf("told %d as well", <-r.events)
+			_ = serverConn.Close()
+			tc.expect(c.want)
+			tc.runOnLoop(func() {})
+			if len(tc.events) > 0 {
+				t.Errorf("unexpected second event: generation %d", <-tc.events)
 			}
 		})
 	}
 }
 
-func line(generation int, reset bool) string {
+// listChunk returns an HTTP chunk with a list that has no instances.
+func listChunk(generation int, reset bool) string {
 	l := fmt.Sprintf("{\"generation\":%d,\"reset\":%v}\n", generation, reset)
 	return fmt.Sprintf("%x\r\n%s\r\n", len(l), l)
 }
 
-// TestWholeListCrossesTheWatch: a watch and a call for the whole list are worked on side by side. A whole list that is older
-// than what the watch has brought would take that back, and a change that is older than a whole list, that list.
-func TestWholeListCrossesTheWatch(t *testing.T) {
-	r := newRig(t)
-	r.do(r.client.Watch)
-	watch := r.call(r.server, "/v1/endpoints?watch=1&from=4")
-	r.do(r.client.Fetch)
-	fetch := r.call(r.server, "/v1/endpoints")
-	r.say(watch, chunked+line(6, false))
-	r.next(6)
-	r.say(fetch, chunked+line(5, true)+"0\r\n\r\n")
-	r.next(0) // and not 5
-	r.do(r.client.Watch)
-	watch = r.call(r.server, "/v1/endpoints?watch=1&from=6")
-	r.say(watch, chunked+line(6, false))
-	r.next(6)
-	r.do(r.client.Fetch)
-	fetch = r.call(r.server, "/v1/endpoints")
-	r.say(fetch, chunked+line(8, true)+"0\r\n\r\n")
-	r.next(8)
-	r.say(watch, line(7, false)+line(9, false))
-	r.next(9) // and not 7
+// TestFullListConcurrentWithWatch: a watch and a request for the full list may be open at the same time. A full list that is
+// older than a change from the watch would undo the change, and a change that is older than the full list would undo part of
+// the list.
+func TestFullListConcurrentWithWatch(t *testing.T) {
+	tc := newTestClient(t)
+	tc.runOnLoop(tc.client.Watch)
+	watch := tc.acceptCall(tc.server, "/v1/endpoints?watch=1&from=4")
+	tc.runOnLoop(tc.client.Fetch)
+	fetch := tc.acceptCall(tc.server, "/v1/endpoints")
+	tc.write(watch, chunked+listChunk(6, false))
+	tc.expect(6)
+	tc.write(fetch, chunked+listChunk(5, true)+"0\r\n\r\n")
+	tc.expect(0) // the older generation 5 is not reported
+	tc.runOnLoop(tc.client.Watch)
+	watch = tc.acceptCall(tc.server, "/v1/endpoints?watch=1&from=6")
+	tc.write(watch, chunked+listChunk(6, false))
+	tc.expect(6)
+	tc.runOnLoop(tc.client.Fetch)
+	fetch = tc.acceptCall(tc.server, "/v1/endpoints")
+	tc.write(fetch, chunked+listChunk(8, true)+"0\r\n\r\n")
+	tc.expect(8)
+	tc.write(watch, listChunk(7, false)+listChunk(9, false))
+	tc.expect(9) // the older generation 7 is not reported
 }
 
-// TestWholeListOfANewAddressFails: until the whole list of a new address has come, what is held is another's. A call for it that
-// fails, while the watch stays open, is made good by the next watch.
-func TestWholeListOfANewAddressFails(t *testing.T) {
-	r := newRig(t)
+// TestFullListFromNewAddressFails: until the full list from a new address has been received, the known list is from the old
+// one. If the request for it fails while the watch stays open, the next watch must start from generation 0.
+func TestFullListFromNewAddressFails(t *testing.T) {
+	tc := newTestClient(t)
 	second := listen(t)
-	r.do(func() { r.client.SetAddress(second.Addr().String()) })
-	watch := r.call(second, "/v1/endpoints?watch=1&from=0")
-	r.say(watch, chunked+line(40, false))
-	r.next(40)
-	_ = r.call(second, "/v1/endpoints").Close()
-	r.next(0)
-	r.do(r.client.Watch)
-	watch = r.call(second, "/v1/endpoints?watch=1&from=0")
-	r.say(watch, chunked+line(40, true))
-	r.next(40)
-	r.do(r.client.Watch)
-	r.call(second, "/v1/endpoints?watch=1&from=40")
+	tc.runOnLoop(func() { tc.client.SetAddress(second.Addr().String()) })
+	watch := tc.acceptCall(second, "/v1/endpoints?watch=1&from=0")
+	tc.write(watch, chunked+listChunk(40, false))
+	tc.expect(40)
+	_ = tc.acceptCall(second, "/v1/endpoints").Close()
+	tc.expect(0)
+	tc.runOnLoop(tc.client.Watch)
+	watch = tc.acceptCall(second, "/v1/endpoints?watch=1&from=0")
+	tc.write(watch, chunked+listChunk(40, true))
+	tc.expect(40)
+	tc.runOnLoop(tc.client.Watch)
+	tc.acceptCall(second, "/v1/endpoints?watch=1&from=40")
 }
 
-// TestCountsAnew: a discovery that has lost count tells changes since what nobody knows, so its whole list is asked for.
-func TestCountsAnew(t *testing.T) {
-	r := newRig(t)
-	r.do(r.client.Watch)
-	watch := r.call(r.server, "/v1/endpoints?watch=1&from=4")
-	r.say(watch, chunked+line(2, false))
-	r.next(2)
-	fetch := r.call(r.server, "/v1/endpoints")
-	r.say(fetch, chunked+line(3, true)+"0\r\n\r\n")
-	r.next(3)
+// TestGenerationRestart: a discovery service that has restarted its count of generations reports changes to an unknown base,
+// so the client has to request the full list.
+func TestGenerationRestart(t *testing.T) {
+	tc := newTestClient(t)
+	tc.runOnLoop(tc.client.Watch)
+	watch := tc.acceptCall(tc.server, "/v1/endpoints?watch=1&from=4")
+	tc.write(watch, chunked+listChunk(2, false))
+	tc.expect(2)
+	fetch := tc.acceptCall(tc.server, "/v1/endpoints")
+	tc.write(fetch, chunked+listChunk(3, true)+"0\r\n\r\n")
+	tc.expect(3)
 }
--- a/internal/discovery/http.go
+++ b/internal/discovery/http.go
@@ -10,50 +10,54 @@
 )
 
 const (
-	maxHead  = 16 << 10
-	maxValue = 8 << 20 // the whole list
+	// maxHeadBytes limits the status line and headers of a response.
+	maxHeadBytes = 16 << 10
+	// maxValueBytes limits one JSON value of a body, which may be the full list.
+	maxValueBytes = 8 << 20
 
-	keepValue = 1 << 16 // of a buffer, from one value to the next
+	// maxKeptBuffer is the capacity, in bytes, up to which a value's buffer is kept for the next value.
+	maxKeptBuffer = 1 << 16
 )
 
 var (
 	errTooLong   = errors.New("too long")
 	errMalformed = errors.New("malformed")
-	errNotJSON   = errors.New("neither an object nor a list")
-	errCutOff    = errors.New("cut off")
+	errNotJSON   = errors.New("neither a JSON object nor a JSON array")
+	errTruncated = errors.New("truncated response")
 )
 
-// reply reads an HTTP/1.1 response as it comes in: a head, then a body that is chunked, of a stated
-// length, or up to the connection's end. Its body is told in whole JSON values, however they are laid out.
-type reply struct {
-	buf     []byte
-	status  int
-	inBody  bool
-	chunked bool
-	left    int // bytes of this chunk or body that are still to come, -1 for up to the end
-	inChunk bool
-	values  values
-	ended   bool
+// response is an incremental parser of an HTTP/1.1 response. The body may be chunked, have a content length, or extend to
+// the end of the stream. It is passed on as complete JSON values, regardless of their layout.
+type response struct {
+	buf       []byte
+	status    int
+	inBody    bool
+	chunked   bool
+	remaining int // bytes of the current chunk or of the body that have not been received, -1 if the body ends with the stream
+	inChunk   bool
+	values    valueSplitter
+	ended     bool
 }
 
-// feed takes what was read and calls f for each value of the body that is complete; only one of status 200 has any.
-func (r *reply) feed(b []byte, f func(value []byte) error) error {
+// feed parses received bytes and calls f for each complete value of the body. The body of a response with another status
+// than 200 is skipped.
+func (r *response) feed(b []byte, f func(value []byte) error) error {
 	r.buf = append(r.buf, b...)
 	if !r.inBody {
 		i := bytes.Index(r.buf, []byte("\r\n\r\n"))
 		if i < 0 {
-			if len(r.buf) > maxHead {
+			if len(r.buf) > maxHeadBytes {
 				return fmt.Errorf("head: %w", errTooLong)
 			}
 			return nil
 		}
-		if err := r.head(string(r.buf[:i])); err != nil {
+		if err := r.parseHead(string(r.buf[:i])); err != nil {
 			return err
 		}
 		r.buf, r.inBody = r.buf[i+4:], true
 	}
 	for !r.ended {
-		n, err := r.step(f)
+		n, err := r.parseBody(f)
 		if err != nil {
 			return err
 		}
@@ -68,7 +72,8 @@
 	return nil
 }
 
-func (r *reply) head(head string) error {
+// parseHead parses the status line and the headers.
+func (r *response) parseHead(head string) error {
 	lines := strings.Split(head, "\r\n")
 	part := strings.SplitN(lines[0], " ", 3)
 	if len(part) < 2 || !strings.HasPrefix(part[0], "HTTP/1.") {
@@ -78,7 +83,7 @@
 	if r.status, err = strconv.Atoi(part[1]); err != nil {
 		return fmt.Errorf("status %q: %w", part[1], errMalformed)
 	}
-	r.left = -1
+	r.remaining = -1
 	for _, l := range lines[1:] {
 		name, val, _ := strings.Cut(l, ":")
 		val = strings.TrimSpace(val)
@@ -86,7 +91,7 @@
 		case "transfer-encoding":
 			r.chunked = strings.EqualFold(val, "chunked")
 		case "content-length":
-			if r.left, err = strconv.Atoi(val); err != nil || r.left < 0 {
+			if r.remaining, err = strconv.Atoi(val); err != nil || r.remaining < 0 {
 				return fmt.Errorf("content length %q: %w", val, errMalformed)
 			}
 		}
@@ -94,8 +99,8 @@
 	return nil
 }
 
-// step takes one piece of the body and returns how many bytes it used, 0 if it needs more.
-func (r *reply) step(f func([]byte) error) (int, error) {
+// parseBody parses one chunk header or part of the body and returns the number of bytes it used, 0 if it needs more.
+func (r *response) parseBody(f func([]byte) error) (int, error) {
 	if r.chunked && !r.inChunk {
 		i := bytes.Index(r.buf, []byte("\r\n"))
 		if i < 0 {
@@ -109,14 +114,14 @@
 		if err != nil {
 			return 0, fmt.Errorf("chunk head %q: %w", size, errMalformed)
 		}
-		r.inChunk, r.left = true, int(n)
+		r.inChunk, r.remaining = true, int(n)
 		if n == 0 {
 			r.ended = true
 			return i + 2, r.values.end()
 		}
 		return i + 2, nil
 	}
-	if r.chunked && r.left == 0 { // the line end behind a chunk
+	if r.chunked && r.remaining == 0 { // the line end after a chunk
 		if len(r.buf) < 2 {
 			return 0, nil
 		}
@@ -124,41 +129,42 @@
 		return 2, nil
 	}
 	n := len(r.buf)
-	if r.left >= 0 {
-		n = min(n, r.left)
-		r.left -= n
+	if r.remaining >= 0 {
+		n = min(n, r.remaining)
+		r.remaining -= n
 	}
 	var err error
 	if r.status == http.StatusOK {
 		err = r.values.feed(r.buf[:n], f)
 	}
-	if err == nil && !r.chunked && r.left == 0 {
+	if err == nil && !r.chunked && r.remaining == 0 {
 		r.ended = true
 		err = r.values.end()
 	}
 	return n, err
 }
 
-// eof takes the connection's end. That is an answer's too, but only where its length was not said, and a reset never is.
-func (r *reply) eof() error {
-	if !r.inBody || r.chunked || r.left >= 0 {
-		return errCutOff
+// handleEOF handles the end of the stream. It completes a response that is neither chunked nor has a content length. For any
+// other one it returns errTruncated. A connection reset is never the regular end of a response.
+func (r *response) handleEOF() error {
+	if !r.inBody || r.chunked || r.remaining >= 0 {
+		return errTruncated
 	}
 	r.ended = true
 	return r.values.end()
 }
 
-// values cuts a body into JSON values: on a line each, indented over many, or run together. White space between them is
-// a sign of life.
-type values struct {
-	buf     []byte // of the value that has begun
-	depth   int    // of its open brackets
-	quoted  bool   // in a string
-	escaped bool   // behind a backslash
+// valueSplitter splits a body into JSON values, which may be on one line each, indented over many lines, or without
+// separators. White space between values serves as a keep-alive.
+type valueSplitter struct {
+	buf     []byte // the bytes of an incomplete value
+	depth   int    // the number of open brackets
+	quoted  bool   // inside a string
+	escaped bool   // after a backslash
 }
 
-func (v *values) feed(b []byte, f func(value []byte) error) error {
-	from := 0 // of what is not in buf yet
+func (v *valueSplitter) feed(b []byte, f func(value []byte) error) error {
+	start := 0 // the first byte of b that is not in buf
 	for i, c := range b {
 		switch {
 		case v.escaped:
@@ -167,7 +173,7 @@
 			v.escaped, v.quoted = c == '\\', c != '"'
 		case c == '{' || c == '[':
 			if v.depth == 0 {
-				from = i
+				start = i
 			}
 			v.depth++
 		case v.depth == 0 && (c == ' ' || c == '\t' || c == '\r' || c == '\n'):
@@ -179,8 +185,8 @@
 			if v.depth--; v.depth > 0 {
 				break
 			}
-			whole := append(v.buf, b[from:i+1]...)
-			if v.buf = whole[:0]; cap(whole) > keepValue {
+			whole := append(v.buf, b[start:i+1]...)
+			if v.buf = whole[:0]; cap(whole) > maxKeptBuffer {
 				v.buf = nil
 			}
 			if err := f(whole); err != nil {
@@ -189,18 +195,18 @@
 		}
 	}
 	if v.depth > 0 {
-		v.buf = append(v.buf, b[from:]...)
+		v.buf = append(v.buf, b[start:]...)
 	}
-	if len(v.buf) > maxValue {
+	if len(v.buf) > maxValueBytes {
 		return fmt.Errorf("value: %w", errTooLong)
 	}
 	return nil
 }
 
-// end tells whether the body may end here.
-func (v *values) end() error {
+// end returns an error if the body ends within a value.
+func (v *valueSplitter) end() error {
 	if v.depth > 0 {
-		return errCutOff
+		return errTruncated
 	}
 	return nil
 }
