--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads what a pooler is told at its start: a JSON file and the environment.
+// Package config reads the configuration of a pooler from a JSON file and the environment.
 package config
 
 import (
@@ -21,14 +21,14 @@
 	"beechgrade/internal/wire"
 )
 
-// Limits are the machine's.
+// Limits are the resources that the pooler may use.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// Config is what a pooler is told.
+// Config is the configuration of a pooler.
 type Config struct {
 	Name          string
 	Listen        string
@@ -38,12 +38,13 @@
 	LastKnownList discovery.List
 	Settings      beechgrade.Settings
 
-	Classes, Zones, MachineTypes []string // names, by the module's numbers
-	ReportFields                 []string // that servers' load reports have
+	Classes, Zones, MachineTypes []string // the names, at the indices that the router uses
+	ReportFields                 []string // the fields of a server's load report
 	ConnectTimeoutMs             float64
-	IdleTimeoutMs                float64 // servers close connections that are idle for this long
+	IdleTimeoutMs                float64 // how long a connection may be idle until its server closes it
 }
 
+// file is the layout of the configuration file.
 type file struct {
 	Name      string         `json:"name"`
 	Listen    string         `json:"listen"`
@@ -54,63 +55,63 @@
 	Settings  map[string]any `json:"settings"`
 }
 
-// Defaults for what may be left out.
+// Defaults of values that may be missing, and limits.
 const (
-	defaultSockets = 1024
-	defaultMemory  = 192
-	minSockets     = 128
-	maxFile        = 16 << 20
-	defaultConnect = 250
-	defaultIdle    = 30000
+	defaultSockets          = 1024
+	defaultMemoryMB         = 192
+	minSockets              = 128
+	maxFileBytes            = 16 << 20
+	defaultConnectTimeoutMs = 250
+	defaultIdleTimeoutMs    = 30000
 )
 
-// errNotWhole says that the file is no JSON: it may be only half written.
-var errNotWhole = errors.New("not a whole JSON object")
+// errIncomplete means that the file is not valid JSON. It may not be completely written yet.
+var errIncomplete = errors.New("not a complete JSON object")
 
-// IsTransient reports whether a configuration that could not be read may be readable soon: a system call has failed, or the
-// file is only half written.
+// IsTransient reports whether reading the configuration may succeed soon, because a system call failed or the file is
+// incomplete.
 func IsTransient(err error) bool {
 	var no syscall.Errno
-	return errors.As(err, &no) || errors.Is(err, errNotWhole)
+	return errors.As(err, &no) || errors.Is(err, errIncomplete)
 }
 
-// Load reads the file that EDGE_CONFIG names. EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY go before it.
+// Load reads the file that EDGE_CONFIG names. EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY override its values.
 func Load(env func(string) string) (*Config, error) { return load(env, false) }
 
-func load(env func(string) string, again bool) (*Config, error) {
+func load(env func(string) string, reload bool) (*Config, error) {
 	path := env("EDGE_CONFIG")
 	if path == "" {
-		return nil, errors.New("EDGE_CONFIG: not set; it names the configuration file")
+		return nil, errors.New("EDGE_CONFIG: not set; it must name the configuration file")
 	}
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("EDGE_CONFIG: %w", err)
 	}
 	defer func() { _ = f.Close() }()
-	b, err := io.ReadAll(io.LimitReader(f, maxFile+1))
+	b, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("EDGE_CONFIG: %w", err)
 	}
-	if len(b) > maxFile {
-		return nil, fmt.Errorf("EDGE_CONFIG: %s: over %d bytes", path, maxFile)
+	if len(b) > maxFileBytes {
+		return nil, fmt.Errorf("EDGE_CONFIG: %s: file is larger than %d bytes", path, maxFileBytes)
 	}
-	c, err := parse(b, env, again)
+	c, err := parse(b, env, reload)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return c, nil
 }
 
-// Reload reads the file again while the program serves. EDGE_DISCOVERY was set at the start and cannot be set anew,
-// so the file's address goes before it.
+// Reload reads the file again while the program serves. The address of discovery in the file overrides EDGE_DISCOVERY,
+// because the environment of a running process cannot be changed.
 func Reload(env func(string) string) (*Config, error) {
 	return load(env, true)
 }
 
-// Apply takes over from next what can change while the program serves, and returns the names of what has changed
-// and what would have to but cannot. The list as last known and the seed are of use at a start only.
+// Apply copies from next the values that can change while the program serves. It returns the names of the values that it
+// changed, and of those that differ but need a restart. LastKnownList and Seed are ignored: they are used only at the start.
 func (c *Config) Apply(next *Config) (changed, kept []string) {
-	set := func(name string, differs bool, apply func()) {
+	update := func(name string, differs bool, apply func()) {
 		switch {
 		case differs && apply != nil:
 			apply()
@@ -119,28 +120,28 @@
 			kept = append(kept, name)
 		}
 	}
-	set("discovery", c.Discovery != next.Discovery, func() { c.Discovery = next.Discovery })
-	set("limits", c.Limits != next.Limits, func() { c.Limits = next.Limits })
-	set("connect_timeout_ns", c.ConnectTimeoutMs != next.ConnectTimeoutMs, func() { c.ConnectTimeoutMs = next.ConnectTimeoutMs })
-	set("idle_close_ns", c.IdleTimeoutMs != next.IdleTimeoutMs, func() { c.IdleTimeoutMs = next.IdleTimeoutMs })
-	set("name", c.Name != next.Name, nil)
-	set("listen", c.Listen != next.Listen, nil)
-	set("settings", !reflect.DeepEqual(c.Settings, next.Settings), nil)
-	set("request classes' names", !slices.Equal(c.Classes, next.Classes), nil)
+	update("discovery", c.Discovery != next.Discovery, func() { c.Discovery = next.Discovery })
+	update("limits", c.Limits != next.Limits, func() { c.Limits = next.Limits })
+	update("connect_timeout_ns", c.ConnectTimeoutMs != next.ConnectTimeoutMs, func() { c.ConnectTimeoutMs = next.ConnectTimeoutMs })
+	update("idle_close_ns", c.IdleTimeoutMs != next.IdleTimeoutMs, func() { c.IdleTimeoutMs = next.IdleTimeoutMs })
+	update("name", c.Name != next.Name, nil)
+	update("listen", c.Listen != next.Listen, nil)
+	update("settings", !reflect.DeepEqual(c.Settings, next.Settings), nil)
+	update("request classes' names", !slices.Equal(c.Classes, next.Classes), nil)
 	return changed, kept
 }
 
-func parse(b []byte, env func(string) string, again bool) (*Config, error) {
+func parse(b []byte, env func(string) string, reload bool) (*Config, error) {
 	var f file
 	dec := jsoniter.ConfigCompatibleWithStandardLibrary.NewDecoder(bytes.NewReader(b))
 	dec.UseNumber()
 	if err := dec.Decode(&f); err != nil {
-		return nil, fmt.Errorf("%w: %w", errNotWhole, err)
+		return nil, fmt.Errorf("%w: %w", errIncomplete, err)
 	}
 	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Limits: f.Limits, LastKnownList: f.Known}
-	for name, at := range map[string]*string{"EDGE_NAME": &c.Name, "EDGE_LISTEN": &c.Listen, "EDGE_DISCOVERY": &c.Discovery} {
-		if v := env(name); v != "" && !(again && at == &c.Discovery && c.Discovery != "") {
-			*at = v
+	for name, field := range map[string]*string{"EDGE_NAME": &c.Name, "EDGE_LISTEN": &c.Listen, "EDGE_DISCOVERY": &c.Discovery} {
+		if v := env(name); v != "" && !(reload && field == &c.Discovery && c.Discovery != "") {
+			*field = v
 		}
 	}
 	for name, addr := range map[string]string{"listen": c.Listen, "discovery": c.Discovery} {
@@ -158,16 +159,17 @@
 		c.Limits.Sockets = defaultSockets
 	}
 	if c.Limits.MemoryMB == 0 {
-		c.Limits.MemoryMB = defaultMemory
+		c.Limits.MemoryMB = defaultMemoryMB
 	}
 	if c.Limits.Sockets < minSockets || c.Limits.MemoryMB < 0 {
-		return nil, fmt.Errorf("limits: %d sockets and %d MB; at least %d sockets are needed",
+		return nil, fmt.Errorf("limits: got %d sockets and %d MB; want at least %d sockets",
 			c.Limits.Sockets, c.Limits.MemoryMB, minSockets)
 	}
-	return c, c.settings(f.Settings)
+	return c, c.parseSettings(f.Settings)
 }
 
-func (c *Config) settings(tree map[string]any) error {
+// parseSettings sets the fields that come from the settings of the file.
+func (c *Config) parseSettings(tree map[string]any) error {
 	pairs := map[string]string{}
 	flatten(pairs, "", tree)
 	var err error
@@ -180,25 +182,28 @@
 	if len(c.Classes) == 0 {
 		return errors.New("settings: request_classes: none given")
 	}
-	c.Zones, c.MachineTypes, c.ReportFields = names(pairs["zones"]), names(pairs["kinds"]), names(pairs["telemetry.fields"])
-	if c.ConnectTimeoutMs, err = millis(pairs, "allowed.connect_timeout_ns", defaultConnect); err != nil {
+	c.Zones, c.MachineTypes, c.ReportFields =
+		splitNames(pairs["zones"]), splitNames(pairs["kinds"]), splitNames(pairs["telemetry.fields"])
+	if c.ConnectTimeoutMs, err = nanosToMs(pairs, "allowed.connect_timeout_ns", defaultConnectTimeoutMs); err != nil {
 		return err
 	}
-	c.IdleTimeoutMs, err = millis(pairs, "allowed.idle_close_ns", defaultIdle)
+	c.IdleTimeoutMs, err = nanosToMs(pairs, "allowed.idle_close_ns", defaultIdleTimeoutMs)
 	return err
 }
 
-func names(list string) []string {
+// splitNames splits a comma-separated list.
+func splitNames(list string) []string {
 	if list == "" {
 		return nil
 	}
 	return strings.Split(list, ",")
 }
 
-func millis(pairs map[string]string, key string, otherwise float64) (float64, error) {
+// nanosToMs returns the time in nanoseconds under key converted to milliseconds, or defaultMs if it is not set.
+func nanosToMs(pairs map[string]string, key string, defaultMs float64) (float64, error) {
 	v := pairs[key]
 	if v == "" {
-		return otherwise, nil
+		return defaultMs, nil
 	}
 	ns, err := strconv.ParseFloat(v, 64)
 	if err != nil || !(ns > 0) {
@@ -207,8 +212,8 @@
 	return ns / 1e6, nil
 }
 
-// flatten lays the nested settings out as the simulator's wire has them: paths joined by dots, plain
-// lists joined by commas, lists of objects with their length under .count.
+// flatten converts nested settings to the form of the simulator's wire protocol: the keys of a path are joined by dots,
+// lists of scalars are joined by commas, and the length of a list of objects is stored under .count.
 func flatten(out map[string]string, path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -219,7 +224,7 @@
 			flatten(out, k, x)
 		}
 	case []any:
-		var plain []string
+		var scalars []string
 		objects := 0
 		for _, x := range v {
 			if m, ok := x.(map[string]any); ok {
@@ -227,13 +232,13 @@
 				objects++
 				continue
 			}
-			plain = append(plain, fmt.Sprint(x))
+			scalars = append(scalars, fmt.Sprint(x))
 		}
 		if objects > 0 {
 			out[path+".count"] = strconv.Itoa(objects)
 			return
 		}
-		out[path] = strings.Join(plain, ",")
+		out[path] = strings.Join(scalars, ",")
 	case nil:
 	default:
 		out[path] = fmt.Sprint(v)
