--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,6 +1,6 @@
-// Package clock is the program's one source of time. Every reading is float64 milliseconds on one
-// scale: Unix time as it was read at the start, carried on by the monotonic clock, so that it never
-// steps and positions and start times from the outside need no further mapping than FromUnix.
+// Package clock is the program's only source of time. Times are float64 values in milliseconds: the Unix time at the start
+// of the program plus the time that has passed on the monotonic clock since. So the clock never jumps, and FromUnix is all
+// that is needed to convert positions and start times that servers and discovery report.
 package clock
 
 import (
@@ -8,35 +8,35 @@
 	"time"
 )
 
-// Clock tells the time in milliseconds. Tests set it with Manual.
+// Clock returns the time in milliseconds. Tests use Manual.
 type Clock interface{ Now() float64 }
 
 type system struct {
-	began  time.Time
-	unixMs float64
+	startedAt time.Time
+	unixMs    float64
 }
 
-// System reads the machine's clocks.
+// System returns a clock that follows the clocks of the machine.
 func System() Clock {
 	now := time.Now()
-	return &system{began: now, unixMs: float64(now.UnixNano()) / 1e6}
+	return &system{startedAt: now, unixMs: float64(now.UnixNano()) / 1e6}
 }
 
 func (s *system) Now() float64 {
-	return s.unixMs + float64(time.Since(s.began))/1e6
+	return s.unixMs + float64(time.Since(s.startedAt))/1e6
 }
 
-// Manual is a clock that stands where it is set.
+// Manual is a clock that shows the time it is set to.
 type Manual struct{ Ms float64 }
 
 // Now returns the time that was set.
 func (m *Manual) Now() float64 { return m.Ms }
 
-// FromUnix maps Unix milliseconds, as the wire has them, onto the clock's scale.
+// FromUnix converts Unix milliseconds, as received from servers and discovery, to the clock's scale.
 func FromUnix(ms int64) float64 { return float64(ms) }
 
-// Duration converts milliseconds to a time.Duration. Whole milliseconds convert exactly to the nanosecond: otherwise a
-// position and the commit that it has to reach would not compare equal.
+// Duration converts milliseconds to a time.Duration. The conversion of whole milliseconds is exact. Otherwise a position and
+// the commit that it has to reach would not compare as equal.
 func Duration(ms float64) time.Duration {
 	whole, part := math.Modf(ms)
 	return time.Duration(whole)*time.Millisecond + time.Duration(part*float64(time.Millisecond))
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestWholeMillisecondsAreExact: a position and the commit that it must reach are compared for equality, so neither may
-// move by a nanosecond on its way to the decision module.
+// TestWholeMillisecondsAreExact: the router compares a position with the commit that it must reach. A conversion that is off
+// by a nanosecond would make equal times differ.
 func TestWholeMillisecondsAreExact(t *testing.T) {
 	for _, ms := range []int64{1, 999, 1767225600123, 1767225600124} {
 		if got := Duration(FromUnix(ms)); got != time.Duration(ms)*time.Millisecond {
@@ -17,6 +17,6 @@
 		}
 	}
 	if now, unix := System().Now(), float64(time.Now().UnixMilli()); now > unix+1000 || now < unix-1000 {
-		t.Errorf("the clock says %v, Unix time is %v", now, unix)
+		t.Errorf("clock shows %v, Unix time is %v", now, unix)
 	}
 }
--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -1,4 +1,4 @@
-// Package deadline is the one ordered structure in which all deadlines of the event loop hang.
+// Package deadline provides the ordered timer queue of the event loop.
 package deadline
 
 import "container/heap"
@@ -7,18 +7,18 @@
 type Timer struct {
 	at    float64
 	seq   uint64
-	index int // in the heap, -1 once out of it
+	index int // position in the heap, -1 if the timer has run or was stopped
 	run   func()
 }
 
-// Heap orders deadlines by time, and those of one time by when they were set. It is not safe for
-// concurrent use: the loop owns it.
+// Heap orders timers by their deadlines, and those with the same deadline by the order in which they were added. It is not
+// safe for concurrent use: the loop owns it.
 type Heap struct {
-	items items
+	items timers
 	seq   uint64
 }
 
-// Add hangs up a deadline at the given time in milliseconds.
+// Add adds a timer that calls run at the given time, in milliseconds.
 func (h *Heap) Add(at float64, run func()) *Timer {
 	h.seq++
 	t := &Timer{at: at, seq: h.seq, run: run}
@@ -26,14 +26,14 @@
 	return t
 }
 
-// Stop takes a deadline down; nil and one that has passed are left alone.
+// Stop removes a timer. It does nothing if t is nil, has run or was stopped before.
 func (h *Heap) Stop(t *Timer) {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&h.items, t.index)
 	}
 }
 
-// Next is the time of the earliest deadline.
+// Next returns the earliest deadline. It returns false if there is none.
 func (h *Heap) Next() (at float64, ok bool) {
 	if len(h.items) == 0 {
 		return 0, false
@@ -41,34 +41,36 @@
 	return h.items[0].at, true
 }
 
-// Run runs what is due at now, in order. What that hangs up anew for now waits for the next call.
+// Run runs the timers that are due at now, in order. Timers that are added meanwhile wait for the next call, even if they
+// are due.
 func (h *Heap) Run(now float64) {
-	last := h.seq
-	for len(h.items) > 0 && h.items[0].at <= now && h.items[0].seq <= last {
+	lastSeq := h.seq
+	for len(h.items) > 0 && h.items[0].at <= now && h.items[0].seq <= lastSeq {
 		heap.Pop(&h.items).(*Timer).run()
 	}
 }
 
-type items []*Timer
+// timers implements heap.Interface.
+type timers []*Timer
 
-func (s items) Len() int { return len(s) }
-func (s items) Less(i, k int) bool {
+func (s timers) Len() int { return len(s) }
+func (s timers) Less(i, k int) bool {
 	return s[i].at < s[k].at || s[i].at == s[k].at && s[i].seq < s[k].seq
 }
-func (s items) Swap(i, k int) {
+func (s timers) Swap(i, k int) {
 	s[i], s[k] = s[k], s[i]
 	s[i].index, s[k].index = i, k
 }
 
-// Push is container/heap's.
-func (s *items) Push(x any) {
+// Push implements heap.Interface.
+func (s *timers) Push(x any) {
 	t := x.(*Timer)
 	t.index = len(*s)
 	*s = append(*s, t)
 }
 
-// Pop is container/heap's.
-func (s *items) Pop() any {
+// Pop implements heap.Interface.
+func (s *timers) Pop() any {
 	old := *s
 	t := old[len(old)-1]
 	old[len(old)-1] = nil
--- a/internal/deadline/deadline_test.go
+++ b/internal/deadline/deadline_test.go
@@ -6,16 +6,17 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestHeap: order of time, then of setting; what is stopped never runs; what is set for now while running waits, or a
-// timer that sets itself anew would hold the loop up.
+// TestHeap: timers run in the order of their deadlines, then in the order in which they were added, and a stopped timer
+// never runs. A timer that is added while Run runs waits for the next call: otherwise a timer that always adds itself again
+// would block the loop.
 func TestHeap(t *testing.T) {
 	var h Heap
 	var got []string
-	say := func(s string) func() { return func() { got = append(got, s) } }
-	h.Add(3, say("3"))
-	h.Add(1, say("1a"))
-	stopped := h.Add(1, say("stopped"))
-	h.Add(1, func() { got = append(got, "1b"); h.Add(1, say("later")) })
+	record := func(s string) func() { return func() { got = append(got, s) } }
+	h.Add(3, record("3"))
+	h.Add(1, record("1a"))
+	stopped := h.Add(1, record("stopped"))
+	h.Add(1, func() { got = append(got, "1b"); h.Add(1, record("later")) })
 	h.Stop(stopped)
 	h.Stop(stopped)
 	h.Stop(nil)
--- a/internal/slots/slots.go
+++ b/internal/slots/slots.go
@@ -1,14 +1,14 @@
-// Package slots is a table of numbered slots. A Ref holds a slot's index and generation, so that a
-// callback that comes late finds nothing instead of the slot's next tenant.
+// Package slots provides a table of numbered slots that are reused. A Ref holds the index and the generation of a slot, so
+// that a late callback with an old Ref finds nothing, instead of the value that uses the slot now.
 package slots
 
-// Ref names one tenancy of a slot. The zero Ref names none.
+// Ref refers to a value in a Table. The zero Ref refers to no value.
 type Ref struct{ Index, Generation uint32 }
 
 type slot[T any] struct {
-	gen   uint32
-	inUse bool
-	value T
+	generation uint32
+	inUse      bool
+	value      T
 }
 
 // Table holds values in numbered slots.
@@ -18,27 +18,27 @@
 	used  int
 }
 
-// Put files a value.
+// Put stores a value and returns its Ref.
 func (t *Table[T]) Put(v T) Ref {
-	var i uint32
+	var index uint32
 	if n := len(t.free); n > 0 {
-		i, t.free = t.free[n-1], t.free[:n-1]
+		index, t.free = t.free[n-1], t.free[:n-1]
 	} else {
-		i = uint32(len(t.slots))
+		index = uint32(len(t.slots))
 		t.slots = append(t.slots, slot[T]{})
 	}
-	s := &t.slots[i]
-	s.gen++
+	s := &t.slots[index]
+	s.generation++
 	s.inUse, s.value = true, v
 	t.used++
-	return Ref{Index: i, Generation: s.gen}
+	return Ref{Index: index, Generation: s.generation}
 }
 
-// Get returns the value filed under r, and false if that tenancy is over.
+// Get returns the value that r refers to. It returns false if that value has been removed.
 func (t *Table[T]) Get(r Ref) (T, bool) {
-	if int(r.Index) >= len(t.slots) || t.slots[r.Index].gen != r.Generation || !t.slots[r.Index].inUse {
-		var none T
-		return none, false
+	if int(r.Index) >= len(t.slots) || t.slots[r.Index].generation != r.Generation || !t.slots[r.Index].inUse {
+		var zero T
+		return zero, false
 	}
 	return t.slots[r.Index].value, true
 }
@@ -49,20 +49,20 @@
 		return
 	}
 	s := &t.slots[r.Index]
-	var none T
-	s.inUse, s.value = false, none
+	var zero T
+	s.inUse, s.value = false, zero
 	t.free = append(t.free, r.Index)
 	t.used--
 }
 
-// Len is the number of slots in use.
+// Len returns the number of slots in use.
 func (t *Table[T]) Len() int { return t.used }
 
-// Each calls f for every slot in use, in order of index.
+// Each calls f for every slot in use, in the order of their indices.
 func (t *Table[T]) Each(f func(Ref, T)) {
 	for i := range t.slots {
 		if s := &t.slots[i]; s.inUse {
-			f(Ref{Index: uint32(i), Generation: s.gen}, s.value)
+			f(Ref{Index: uint32(i), Generation: s.generation}, s.value)
 		}
 	}
 }
--- a/internal/slots/slots_test.go
+++ b/internal/slots/slots_test.go
@@ -2,24 +2,25 @@
 
 import "testing"
 
-// TestLateRefFindsNothing: a callback that comes after its connection has gone must not reach the slot's next tenant.
-func TestLateRefFindsNothing(t *testing.T) {
-	var tab Table[string]
-	old := tab.Put("old")
-	tab.Delete(old)
-	tab.Delete(old)
-	next := tab.Put("next")
+// TestStaleRefFindsNothing: a callback that is called after its connection was removed must not reach the value that has
+// reused the slot.
+func TestStaleRefFindsNothing(t *testing.T) {
+	var table Table[string]
+	old := table.Put("old")
+	table.Delete(old)
+	table.Delete(old)
+	next := table.Put("next")
 	if next.Index != old.Index {
-		t.Fatalf("the slot was not used again: %v, %v", old, next)
+		t.Fatalf("the slot was not reused: %v, %v", old, next)
 	}
-	if v, ok := tab.Get(old); ok {
-		t.Errorf("the old ref finds %q", v)
+	if v, ok := table.Get(old); ok {
+		t.Errorf("the stale Ref finds %q", v)
 	}
-	tab.Delete(old)
-	if v, ok := tab.Get(next); !ok || v != "next" || tab.Len() != 1 {
-		t.Errorf("got %q, %v, %d in use", v, ok, tab.Len())
+	table.Delete(old)
+	if v, ok := table.Get(next); !ok || v != "next" || table.Len() != 1 {
+		t.Errorf("got %q, %v, %d in use", v, ok, table.Len())
 	}
-	if _, ok := tab.Get(Ref{}); ok {
-		t.Error("the zero ref finds something")
+	if _, ok := table.Get(Ref{}); ok {
+		t.Error("the zero Ref finds a value")
 	}
 }
