--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -278,7 +278,7 @@
 // the dedup window, and before its time-out. If its connection becomes ready later, the attempt is skipped and another one
 // that waits uses the connection, whether the loop handles the timer or the connection first.
 func TestNotSentAfterDeadline(t *testing.T) {
-	for name, late := range map[string]func(a *attempt, now float64){
+	for name, expire := range map[string]func(a *attempt, now float64){
 		"timer": nil,
 		// These two act as if time passed while the loop handles connections. It runs timers after them.
 		"send deadline": func(a *attempt, now float64) { a.sendDeadline = now },
@@ -292,7 +292,7 @@
 			tp.pool.StartAttempt("s", events, tp.clk.Ms+9000, math.Inf(1), true, AttemptID{Number: 1})
 		})
 		slow := []net.Conn{accept(t, server), accept(t, server)}
-		if late == nil {
+		if expire == nil {
 			tp.runOnLoop(func() { tp.clk.Ms += 100 })
 		}
 		tp.runOnLoop(func() {
@@ -304,8 +304,8 @@
 					runtime.Gosched()
 				}
 			})
-			if late != nil {
-				late(tp.pool.servers["s"].waiting[0], tp.clk.Ms)
+			if expire != nil {
+				expire(tp.pool.servers["s"].waiting[0], tp.clk.Ms)
 			}
 		})
 		if o := tp.nextOutcome(); o.Result != beechgrade.Skipped {
