--- a/internal/loop/conn.go
+++ b/internal/loop/conn.go
@@ -13,68 +13,68 @@
 	"beechgrade/internal/slots"
 )
 
-// Reason says why this side closes a connection, in the form part.cause, as the counters and the log have it.
+// Reason is why this side closes a connection, in the form "part.cause". It is used as a metric label and in the log.
 type Reason string
 
-// Why the loop closes a connection.
+// Reasons for which the loop itself closes a connection.
 const (
-	closeEnd       Reason = "loop.end"        // the loop ends
-	closeUnwatched Reason = "loop.unreadable" // reads or writes have failed for seconds
+	closeLoopEnded  Reason = "loop.end"        // Shutdown was called
+	closeUnreadable Reason = "loop.unreadable" // reads or writes have kept failing for persistentFailureMs
 )
 
-// connState is where a connection stands.
+// connState is the state of a connection.
 type connState int
 
 const (
-	connecting connState = iota // dialled, and not up yet
-	open
-	ending // Closed is being told
-	gone
+	stateConnecting connState = iota // dialled, but not established yet
+	stateOpen
+	stateClosing // the handler's Closed is running
+	stateClosed
 )
 
-// Conn is a connection on the loop; its methods are for the loop alone.
+// Conn is a connection on the loop. Its methods may only be called on the loop's goroutine.
 type Conn struct {
-	loop  *Loop
-	ref   slots.Ref
-	fd    int
-	h     Handler
-	id    uint64 // in the log
-	state connState
-	why   Reason // it is closed by this side, "" for not so
+	loop        *Loop
+	ref         slots.Ref
+	fd          int
+	handler     Handler
+	id          uint64 // identifies the connection in the log
+	state       connState
+	closeReason Reason // set if this side has closed the connection
 
-	out        []byte  // written, and not taken by the socket yet
-	sent       int     // of out, taken since
-	registered bool    // with the poller...
-	interest   uint32  // ...for these events
-	readStops  bool    // a read has failed: no more until the next try
-	writeStops bool    // a write has failed
-	suspect    error   // that a read failed with since the last one that brought something
-	lateSince  float64 // what is read next may have come then already, 0 for only now
-	tries      backoff
-	again      *deadline.Timer // the next try
+	sendBuffer        []byte  // written bytes that the socket has not accepted yet, from sendOffset on
+	sendOffset        int     // number of bytes of sendBuffer that the socket has accepted since
+	registered        bool    // the descriptor is registered with the poller
+	interest          uint32  // the events for which it is registered
+	readPaused        bool    // a read has failed; the next one waits for retryTimer
+	writePaused       bool    // a write has failed; the next one waits for retryTimer
+	transientReadErr  error   // the last transient read error since the last read that returned data
+	earliestArrivalMs float64 // earliest time at which the bytes read next may have arrived, 0 for now
+	backoff           backoff
+	retryTimer        *deadline.Timer // calls retryIO
 
-	dial dialling
+	dial pendingDial
 }
 
-func (l *Loop) newConn(fd int, h Handler) *Conn {
-	l.made++
-	c := &Conn{loop: l, fd: fd, h: h, id: l.made}
+func (l *Loop) newConn(fd int, handler Handler) *Conn {
+	l.lastConnID++
+	c := &Conn{loop: l, fd: fd, handler: handler, id: l.lastConnID}
 	c.ref = l.conns.Put(c)
 	return c
 }
 
 // CloseReason returns why the connection ended: this side's reason, or "peer".
 func (c *Conn) CloseReason() string {
-	if c.why == "" {
+	if c.closeReason == "" {
 		return "peer"
 	}
-	return string(c.why)
+	return string(c.closeReason)
 }
 
-// Write sends b, or buffers what the socket does not take. A write that finds the connection broken closes it,
-// and Closed has been called when Write returns.
+// Write sends b and buffers what the socket does not accept. If the connection turns out to be broken, Write closes it, and the
+// handler's Closed has been called when Write returns.
 func (c *Conn) Write(b []byte) error {
-	if c.state != open {
+	if c.state != stateOpen {
 		return net.ErrClosed
 	}
 	if c.UnsentBytes() == 0 {
@@ -86,298 +86,301 @@
 		if b = b[n:]; len(b) == 0 {
 			return nil
 		}
-		c.out, c.sent = c.out[:0], 0
+		c.sendBuffer, c.sendOffset = c.sendBuffer[:0], 0
 	}
-	c.out = append(c.out, b...)
-	c.watch()
+	c.sendBuffer = append(c.sendBuffer, b...)
+	c.updateInterest()
 	return nil
 }
 
-// send writes what the socket takes now. An error says that the connection has ended.
+// send writes as much of b as the socket accepts now. It returns an error only if the connection has ended.
 func (c *Conn) send(b []byte) (sent int, err error) {
-	for interrupted := 0; sent < len(b); {
+	for interruptions := 0; sent < len(b); {
 		n, err := c.loop.kernel.write(c.fd, b[sent:])
 		if err == nil {
 			sent += max(0, n)
-			c.progress()
+			c.resetBackoff()
 			continue
 		}
-		switch v := judge(err); {
-		case v == wait:
+		switch action := ioActionFor(err); {
+		case action == waitForPoller:
 			return sent, nil
-		case v == broken:
+		case action == connectionEnded:
 			return sent, err
-		case v == repeat && interrupted < fewRepeats:
-			interrupted++
-			c.loop.failed("write", err)
+		case action == retryAtOnce && interruptions < immediateTries:
+			interruptions++
+			c.loop.recordFailure("write", err)
 		default:
-			c.writeStops = true
-			c.stall("write", err)
+			c.writePaused = true
+			c.retryAfterFailure("write", err)
 			return sent, nil
 		}
 	}
 	return sent, nil
 }
 
-// flush writes what is buffered.
+// flush writes the buffered bytes.
 func (c *Conn) flush() {
-	if c.writeStops || c.UnsentBytes() == 0 {
+	if c.writePaused || c.UnsentBytes() == 0 {
 		return
 	}
-	n, err := c.send(c.out[c.sent:])
+	n, err := c.send(c.sendBuffer[c.sendOffset:])
 	if err != nil {
 		c.finish(err)
 		return
 	}
-	if c.sent += n; c.sent == len(c.out) {
-		c.out, c.sent = nil, 0
+	if c.sendOffset += n; c.sendOffset == len(c.sendBuffer) {
+		c.sendBuffer, c.sendOffset = nil, 0
 	}
 }
 
-// receive reads once and tells what came.
+// receive reads once and passes the data, or the end of the connection, to the handler.
 func (c *Conn) receive() {
-	for interrupted := 0; ; interrupted++ {
-		n, err := c.loop.kernel.read(c.fd, c.loop.buffer)
+	for interruptions := 0; ; interruptions++ {
+		n, err := c.loop.kernel.read(c.fd, c.loop.readBuffer)
 		switch {
 		case err == nil && n > 0:
-			c.suspect = nil
-			c.progress()
-			c.h.Data(c.loop.buffer[:n])
-			if n < len(c.loop.buffer) {
-				c.lateSince = 0
+			c.transientReadErr = nil
+			c.resetBackoff()
+			c.handler.Data(c.loop.readBuffer[:n])
+			if n < len(c.loop.readBuffer) {
+				c.earliestArrivalMs = 0
 			}
 			return
-		case err == nil && c.suspect != nil: // it was the connection's last word
-			c.finish(c.suspect)
+		case err == nil && c.transientReadErr != nil: // the transient error was the cause of the end
+			c.finish(c.transientReadErr)
 			return
 		case err == nil:
 			c.finish(io.EOF)
 			return
 		}
-		switch v := judge(err); {
-		case v == wait:
-			c.lateSince = 0
-			c.progress()
+		switch action := ioActionFor(err); {
+		case action == waitForPoller:
+			c.earliestArrivalMs = 0
+			c.resetBackoff()
 			return
-		case v == broken:
+		case action == connectionEnded:
 			c.finish(err)
 			return
-		case v == repeat && interrupted < fewRepeats:
-			c.loop.failed("read", err)
+		case action == retryAtOnce && interruptions < immediateTries:
+			c.loop.recordFailure("read", err)
 		default:
-			if v == pause {
-				c.suspect = err
+			if action == retryAfterPause {
+				c.transientReadErr = err
 			}
-			if c.lateSince == 0 {
-				c.lateSince = c.loop.Now()
+			if c.earliestArrivalMs == 0 {
+				c.earliestArrivalMs = c.loop.Now()
 			}
-			c.readStops = true
-			c.stall("read", err)
+			c.readPaused = true
+			c.retryAfterFailure("read", err)
 			return
 		}
 	}
 }
 
-// progress ends a series of failures.
-func (c *Conn) progress() {
-	if !c.readStops && !c.writeStops {
-		c.tries.reset()
+// resetBackoff ends the series of failures after a call that succeeded, unless reading or writing is still paused.
+func (c *Conn) resetBackoff() {
+	if !c.readPaused && !c.writePaused {
+		c.backoff.reset()
 	}
 }
 
-// stall has what failed tried again after a pause.
-func (c *Conn) stall(call string, err error) {
-	c.loop.failed(call, err)
-	c.retry()
+// retryAfterFailure records a failed call and schedules the retry.
+func (c *Conn) retryAfterFailure(call string, err error) {
+	c.loop.recordFailure(call, err)
+	c.scheduleRetry()
 }
 
-// retry sets the next try.
-func (c *Conn) retry() {
+// scheduleRetry sets the timer for the next try.
+func (c *Conn) scheduleRetry() {
 	l := c.loop
-	l.StopTimer(c.again)
-	c.again = l.At(l.Now()+c.tries.next(l.Now()), c.tryAgain)
+	l.StopTimer(c.retryTimer)
+	c.retryTimer = l.At(l.Now()+c.backoff.nextPause(l.Now()), c.retryIO)
 }
 
-// tryAgain reads and writes without waiting for the poller, which may not be able to watch the connection.
-func (c *Conn) tryAgain() {
-	c.loop.StopTimer(c.again)
-	c.again = nil
-	if c.tries.enduring(c.loop.Now()) {
-		c.abandon("poll", unix.ETIMEDOUT)
-		c.Close(closeUnwatched)
+// retryIO reads and writes without waiting for the poller, because the connection may not be registered with it. It closes the
+// connection if calls have kept failing for persistentFailureMs.
+func (c *Conn) retryIO() {
+	c.loop.StopTimer(c.retryTimer)
+	c.retryTimer = nil
+	if c.backoff.persistent(c.loop.Now()) {
+		c.failDial("poll", unix.ETIMEDOUT)
+		c.Close(closeUnreadable)
 		return
 	}
-	c.readStops, c.writeStops = false, false
-	if c.state == connecting {
-		c.connected(false)
+	c.readPaused, c.writePaused = false, false
+	if c.state == stateConnecting {
+		c.completeDial(false)
 	}
-	if c.state == open {
+	if c.state == stateOpen {
 		c.flush()
 	}
-	if c.state == open && !c.readStops {
+	if c.state == stateOpen && !c.readPaused {
 		c.receive()
 	}
-	if c.state <= open {
-		c.watch()
+	if c.state <= stateOpen {
+		c.updateInterest()
 	}
 }
 
-// happened carries out what the poller tells.
-func (c *Conn) happened(events uint32) {
-	if c.state == connecting {
-		c.connected(true)
+// handleEvents handles the events that the poller has reported for the connection.
+func (c *Conn) handleEvents(events uint32) {
+	if c.state == stateConnecting {
+		c.completeDial(true)
 		return
 	}
 	if events&unix.EPOLLOUT != 0 {
 		c.flush()
 	}
-	if c.state == open && events&^unix.EPOLLOUT != 0 && !c.readStops {
+	if c.state == stateOpen && events&^unix.EPOLLOUT != 0 && !c.readPaused {
 		c.receive()
 	}
-	if c.state == open {
-		c.watch()
+	if c.state == stateOpen {
+		c.updateInterest()
 	}
 }
 
-// watch has the poller tell what is waited for. Where it cannot, tries in short order take its place.
-func (c *Conn) watch() {
+// updateInterest registers with the poller the events that the connection waits for. If that fails, it schedules retries, which
+// read and write without the poller.
+func (c *Conn) updateInterest() {
 	var events uint32
-	if c.state == connecting || c.UnsentBytes() > 0 && !c.writeStops {
+	if c.state == stateConnecting || c.UnsentBytes() > 0 && !c.writePaused {
 		events |= unix.EPOLLOUT
 	}
-	if c.state == open && !c.readStops {
+	if c.state == stateOpen && !c.readPaused {
 		events |= unix.EPOLLIN
 	}
 	if c.registered && events == c.interest {
 		return
 	}
-	change := c.loop.poller.modify
+	setInterest := c.loop.poller.modify
 	if !c.registered {
-		change = c.loop.poller.add
+		setInterest = c.loop.poller.add
 	}
-	err := change(c.fd, c.ref, events)
+	err := setInterest(c.fd, c.ref, events)
 	if err != nil {
-		c.loop.failed("epoll_ctl", err)
-		if c.again == nil {
-			c.retry()
+		c.loop.recordFailure("epoll_ctl", err)
+		if c.retryTimer == nil {
+			c.scheduleRetry()
 		}
 		return
 	}
 	c.registered, c.interest = true, events
 }
 
-// EarliestArrival returns the earliest time at which the bytes passed to Data may have arrived. It is before now if reading or
-// accepting failed in the meantime.
+// EarliestArrival returns the earliest time in milliseconds at which the bytes passed to Data may have arrived. It lies in the
+// past if reads or accepts have failed since then.
 func (c *Conn) EarliestArrival() float64 {
-	if c.lateSince == 0 {
+	if c.earliestArrivalMs == 0 {
 		return c.loop.Now()
 	}
-	return c.lateSince
+	return c.earliestArrivalMs
 }
 
-// PeerClosed reports whether the peer has closed the connection, or the connection has broken. If the loop may not have
-// noticed yet, because it was held up or reading fails, it asks the system.
+// PeerClosed reports whether the peer has closed the connection, or the connection has broken. It queries the socket if the loop
+// may not have noticed yet, because it has not polled in time or because reads fail.
 func (c *Conn) PeerClosed() bool {
-	if c.state != open {
+	if c.state != stateOpen {
 		return true
 	}
-	if c.lateSince == 0 && !c.loop.PollOverdue() {
+	if c.earliestArrivalMs == 0 && !c.loop.PollOverdue() {
 		return false
 	}
 	var b [1]byte
 	n, _, err := c.loop.kernel.recvfrom(c.fd, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	if err != nil {
-		return judge(err) == broken
+		return ioActionFor(err) == connectionEnded
 	}
 	if n == 0 {
 		return true
 	}
-	asked := []unix.PollFd{{Fd: int32(c.fd), Events: unix.POLLRDHUP}} // an end behind what is unread
-	n, err = c.loop.kernel.poll(asked, 0)
-	return err == nil && n > 0 && asked[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+	pollFDs := []unix.PollFd{{Fd: int32(c.fd), Events: unix.POLLRDHUP}} // detects an end of stream that follows unread data
+	n, err = c.loop.kernel.poll(pollFDs, 0)
+	return err == nil && n > 0 && pollFDs[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
 // UnsentBytes returns the number of written bytes that the socket has not accepted yet.
 func (c *Conn) UnsentBytes() int {
-	if c.state == gone {
+	if c.state == stateClosed {
 		return 0
 	}
-	return len(c.out) - c.sent
+	return len(c.sendBuffer) - c.sendOffset
 }
 
-// Close closes the connection now, after a last try to send what is buffered; Closed is called before it returns.
-func (c *Conn) Close(why Reason) {
-	if c.state >= ending {
+// Close closes the connection at once, after one attempt to send the buffered bytes. The handler's Closed is called before Close
+// returns.
+func (c *Conn) Close(reason Reason) {
+	if c.state >= stateClosing {
 		return
 	}
-	c.why = why
-	c.loop.metrics.Add(metrics.Closed, string(why))
-	c.loop.log.Debug("connection closed", "conn", c.id, "why", why)
+	c.closeReason = reason
+	c.loop.metrics.Add(metrics.Closed, string(reason))
+	c.loop.log.Debug("connection closed", "conn", c.id, "why", reason)
 	c.finish(nil)
 }
 
-// finish ends the connection: by this side where err is nil.
+// finish ends the connection and calls the handler's Closed if the connection was open. err is nil if this side closes it.
 func (c *Conn) finish(err error) {
-	if c.state >= ending {
+	if c.state >= stateClosing {
 		return
 	}
-	was := c.state
-	c.state = ending
-	c.loop.StopTimer(c.again)
+	previousState := c.state
+	c.state = stateClosing
+	c.loop.StopTimer(c.retryTimer)
 	c.loop.StopTimer(c.dial.timer)
-	if was == open {
-		c.h.Closed(err)
+	if previousState == stateOpen {
+		c.handler.Closed(err)
 	}
 	if err == nil {
-		c.sendRest()
+		c.sendBuffered()
 	}
-	c.state, c.out = gone, nil
+	c.state, c.sendBuffer = stateClosed, nil
 	c.loop.conns.Delete(c.ref)
 	_ = c.loop.kernel.closeFD(c.fd)
 }
 
-// sendRest has the socket take what it can of what is buffered.
-func (c *Conn) sendRest() {
+// sendBuffered writes as many of the buffered bytes as the socket accepts and ignores errors.
+func (c *Conn) sendBuffered() {
 	for c.UnsentBytes() > 0 {
-		n, err := c.loop.kernel.write(c.fd, c.out[c.sent:])
+		n, err := c.loop.kernel.write(c.fd, c.sendBuffer[c.sendOffset:])
 		if err != nil || n <= 0 {
 			return
 		}
-		c.sent += n
+		c.sendOffset += n
 	}
 }
 
-// DiscardUnsent drops the written bytes that the socket has not accepted yet, so that they are not sent at the close either.
-func (c *Conn) DiscardUnsent() { c.out, c.sent = nil, 0 }
+// DiscardUnsent drops the written bytes that the socket has not accepted yet, so that Close does not send them either.
+func (c *Conn) DiscardUnsent() { c.sendBuffer, c.sendOffset = nil, 0 }
 
-// CloseWrite ends the sending; what the other side still sends is told as before.
+// CloseWrite shuts down the sending direction. Data that the peer still sends is passed to the handler as before.
 func (c *Conn) CloseWrite() error {
-	if c.state != open {
+	if c.state != stateOpen {
 		return net.ErrClosed
 	}
 	if err := c.loop.kernel.shutdown(c.fd, unix.SHUT_WR); err != nil {
-		c.loop.failed("shutdown", err)
+		c.loop.recordFailure("shutdown", err)
 		return fmt.Errorf("shutdown: %w", err)
 	}
 	return nil
 }
 
-// NoPendingInput reports whether the connection is open with nothing to read: neither data nor an end of stream that the loop
-// has not read yet. It returns false if the system cannot tell.
+// NoPendingInput reports whether the connection is open and has nothing to read: neither data nor an end of stream that the loop
+// has not read yet. It returns false if the system call keeps failing.
 func (c *Conn) NoPendingInput() bool {
-	if c.state != open {
+	if c.state != stateOpen {
 		return false
 	}
 	var b [1]byte
-	for range fewRepeats {
+	for range immediateTries {
 		_, _, err := c.loop.kernel.recvfrom(c.fd, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		if errors.Is(err, unix.EAGAIN) {
 			return true
 		}
-		if err == nil || judge(err) == broken {
+		if err == nil || ioActionFor(err) == connectionEnded {
 			return false
 		}
-		c.loop.failed("recvfrom", err)
+		c.loop.recordFailure("recvfrom", err)
 	}
 	return false
 }
--- a/internal/loop/errno.go
+++ b/internal/loop/errno.go
@@ -8,75 +8,84 @@
 	"beechgrade/internal/metrics"
 )
 
-// What each failing system call leads to. "pause" is a new try after 5 ms, doubled up to 50 ms. Every failure is counted as
-// call.ERRNO and logged, once a second for each kind.
+// The table shows how the loop handles each failing system call. "pause" means that the call is retried after 5 ms, and that
+// this pause doubles with each further failure up to 50 ms. Every failure is counted under "call.ERRNO" and logged at most once
+// a second for each such key.
 //
-//	call                  error                                       what happens                         test
-//	accept4               EAGAIN                                      wait for the poller                  -
-//	accept4               EINTR, ECONNABORTED, EPROTO, network        next connection, pause if it lasts   TestAcceptFails
-//	accept4               EMFILE, ENFILE                              idle connections make room, pause    TestAcceptFails
-//	accept4               ENOBUFS, ENOMEM, EPERM, any other           pause                                TestAcceptFails
-//	read, write           EAGAIN                                      wait for the poller                  -
-//	read, write           EINTR                                       again at once, pause if it lasts     TestReadAndWriteFail
-//	read, write           ECONNRESET, EPIPE, ENOTCONN, EBADF, ...     the connection has ended             TestReadAndWriteFail
-//	read, write           ENOBUFS, ENOMEM, ETIMEDOUT, any other       pause; the end if it lasts 5 s       TestReadAndWriteFail
-//	read, write           short                                       the rest follows                     TestShortReadsAndWrites
-//	epoll_ctl             any                                         reads and writes without the poller  TestPollerRefuses
-//	epoll_wait            EINTR                                       again at once, pause if it lasts     TestPollerFails
-//	epoll_wait            any other                                   pause, and each connection is read   TestPollerFails
-//	                                                                  and written without the poller
-//	write to the eventfd  any                                         again until it succeeds              TestWakeFails
-//	socket, connect       EMFILE, ENFILE, ENOBUFS, ENOMEM,            a local DialError: tells nothing     TestDialFails
-//	                      EADDRNOTAVAIL, EAGAIN                       of the other side
-//	connect               EINTR                                       once more                            TestDialFails
-//	connect               any other                                   a DialError                          TestDialFails
-//	getsockopt(SO_ERROR)  any                                         three tries, then a local DialError  TestDialFails
-//	setsockopt            any                                         goes on without the option           TestDialFails
-//	recvfrom (peek)       EINTR, ENOBUFS, ENOMEM                      NoPendingInput: three tries, false   TestQuietInterrupted
-//	shutdown              any                                         told to the caller, who closes       -
-//	close                 any                                         nothing: Linux has freed it          -
-//	bind, listen, ...     any, at the start                           new tries for 5 s, then status 1     TestListenFails
+//	call                  error                                   effect                               test
+//	accept4               EAGAIN                                  wait for the poller                  -
+//	accept4               EINTR, ECONNABORTED, EPROTO, network    accept the next one; pause if it     TestAcceptFails
+//	                                                              fails three times in a row
+//	accept4               EMFILE, ENFILE                          close idle connections, or pause     TestAcceptFails
+//	accept4               ENOBUFS, ENOMEM, EPERM, any other       pause                                TestAcceptFails
+//	read, write           EAGAIN                                  wait for the poller                  -
+//	read, write           EINTR                                   retry at once; pause if it lasts     TestReadAndWriteFail
+//	read, write           ECONNRESET, EPIPE, ENOTCONN, EBADF, ... close the connection                 TestReadAndWriteFail
+//	read, write           ENOBUFS, ENOMEM, ETIMEDOUT, any other   pause; close if it lasts 5 s         TestReadAndWriteFail
+//	read, write           short                                   transfer the rest later              TestShortReadsAndWrites
+//	epoll_ctl             any                                     read and write without the poller    TestPollerRejectsDescriptors
+//	epoll_wait            EINTR                                   retry at once; pause if it lasts     TestPollerFails
+//	epoll_wait            any other                               pause, then read and write every     TestPollerFails
+//	                                                              connection without the poller
+//	write to the eventfd  any                                     retry until it succeeds              TestWakeFails
+//	socket, connect       EMFILE, ENFILE, ENOBUFS, ENOMEM,        report a local DialError, which says TestDialFails
+//	                      EADDRNOTAVAIL, EAGAIN                   nothing about the remote side
+//	connect               EINTR                                   retry once                           TestDialFails
+//	connect               any other                               report a DialError                   TestDialFails
+//	getsockopt(SO_ERROR)  any                                     try three times, then report a       TestDialFails
+//	                                                              local DialError
+//	setsockopt            any                                     continue without the option          TestDialFails
+//	recvfrom (peek)       EINTR, ENOBUFS, ENOMEM                  try three times, then NoPendingInput TestNoPendingInputInterrupted
+//	                                                              returns false
+//	shutdown              any                                     return the error to the caller,      -
+//	                                                              which closes the connection
+//	close                 any                                     ignore: Linux has freed the          -
+//	                                                              descriptor
+//	bind, listen, ...     any, at startup                         retry for 5 s, then exit with        TestListenFails
+//	                                                              status 1
 //
-// All of it is tried on a real process as well, by TestTransientSystemCalls in cmd/beechgrade.
+// TestTransientSystemCalls in cmd/beechgrade injects transient errors into the system calls of a real process.
 
-// verdict is what a failed call means for the descriptor that it was made on.
-type verdict int
+// ioAction is what the loop does after a failed read or write on a connection.
+type ioAction int
 
 const (
-	wait   verdict = iota // it is not ready: the poller will tell
-	repeat                // the call was interrupted
-	pause                 // the system is short of something, or the error says nothing of the descriptor for good
-	broken                // the connection has ended
+	waitForPoller   ioAction = iota // the descriptor is not ready: wait until the poller reports it
+	retryAtOnce                     // the call was interrupted by a signal
+	retryAfterPause                 // the system lacks a resource, or the error does not show that the connection has ended
+	connectionEnded                 // the connection has ended
 )
 
-// judge reads the error of a read or write on a connection. An error that ends a connection for good but is not named
-// here is met by the next call: that reads the end of the stream, or fails with EPIPE.
-func judge(err error) verdict {
-	var no unix.Errno
-	if !errors.As(err, &no) {
-		return broken
+// ioActionFor returns the action for an error of a read or write on a connection. If the connection has ended but the error is
+// not listed here, the next call shows it: a read returns the end of the stream, and a write fails with EPIPE.
+func ioActionFor(err error) ioAction {
+	var errno unix.Errno
+	if !errors.As(err, &errno) {
+		return connectionEnded
 	}
-	switch no {
+	switch errno {
 	case unix.EAGAIN:
-		return wait
+		return waitForPoller
 	case unix.EINTR:
-		return repeat
+		return retryAtOnce
 	case unix.ECONNRESET, unix.EPIPE, unix.ENOTCONN, unix.ECONNABORTED, unix.ECONNREFUSED, unix.ESHUTDOWN,
 		unix.EBADF, unix.ENOTSOCK, unix.EINVAL, unix.EFAULT:
-		return broken
+		return connectionEnded
 	}
-	return pause
+	return retryAfterPause
 }
 
-// outOfDescriptors tells whether the process or the machine has no descriptor left.
+// outOfDescriptors reports whether err says that the process or the machine has no free file descriptor.
 func outOfDescriptors(err error) bool {
 	return errors.Is(err, unix.EMFILE) || errors.Is(err, unix.ENFILE)
 }
 
-// local tells whether a failed connection says nothing of the other side: something is short on this machine.
-func local(err error) bool {
-	for _, no := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL, unix.EAGAIN, unix.EINTR} {
-		if errors.Is(err, no) {
+// isLocalError reports whether a connect failed because of a condition on this machine, such as an exhausted resource. Such an
+// error says nothing about the remote side.
+func isLocalError(err error) bool {
+	for _, errno := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL, unix.EAGAIN,
+		unix.EINTR} {
+		if errors.Is(err, errno) {
 			return true
 		}
 	}
@@ -84,55 +93,61 @@
 }
 
 const (
-	firstPauseMs = 5    // after a call that failed, until it is tried again
-	maxPauseMs   = 50   // ...in the end
-	enduringMs   = 5000 // errors that last so long are not transient
-	fewRepeats   = 3    // tries at once of a call that was interrupted
+	// firstRetryPauseMs is the pause in milliseconds between the first failure of a call and the next try.
+	firstRetryPauseMs = 5
+	// maxRetryPauseMs is the longest pause in milliseconds between two tries.
+	maxRetryPauseMs = 50
+	// persistentFailureMs is the time in milliseconds after which a series of failures no longer counts as transient.
+	persistentFailureMs = 5000
+	// immediateTries is how often a call is tried without a pause. An interrupted read or write is repeated this often.
+	immediateTries = 3
 )
 
-// backoff spaces out the tries of a call that keeps failing.
+// backoff computes the pauses between retries of a call that keeps failing.
 type backoff struct {
-	pauseMs float64
-	sinceMs float64 // the first failure of a series, 0 for none
+	pauseMs        float64
+	firstFailureMs float64 // time of the first failure in the current series, 0 if there is none
 }
 
-// next is the pause after a failure now.
-func (b *backoff) next(now float64) float64 {
-	if b.sinceMs == 0 {
-		b.sinceMs, b.pauseMs = now, firstPauseMs
+// nextPause records a failure at the time now and returns the pause before the next try, in milliseconds.
+func (b *backoff) nextPause(now float64) float64 {
+	if b.firstFailureMs == 0 {
+		b.firstFailureMs, b.pauseMs = now, firstRetryPauseMs
 		return b.pauseMs
 	}
-	b.pauseMs = min(2*b.pauseMs, maxPauseMs)
+	b.pauseMs = min(2*b.pauseMs, maxRetryPauseMs)
 	return b.pauseMs
 }
 
-// enduring tells whether the series has lasted for so long that it will not pass.
-func (b *backoff) enduring(now float64) bool { return b.sinceMs != 0 && now-b.sinceMs >= enduringMs }
+// persistent reports whether the calls have been failing for so long that the error is not transient.
+func (b *backoff) persistent(now float64) bool {
+	return b.firstFailureMs != 0 && now-b.firstFailureMs >= persistentFailureMs
+}
 
-// reset ends a series: the call has succeeded.
+// reset ends the series of failures after a call that succeeded.
 func (b *backoff) reset() { *b = backoff{} }
 
-// errnoName is the name of the system's error in err, such as EMFILE.
+// errnoName returns the symbolic name of the errno in err, such as EMFILE, or the text of err if it holds none.
 func errnoName(err error) string {
-	var no unix.Errno
-	if errors.As(err, &no) {
-		return unix.ErrnoName(no)
+	var errno unix.Errno
+	if errors.As(err, &errno) {
+		return unix.ErrnoName(errno)
 	}
 	return err.Error()
 }
 
-// sayMs is the time between two log lines on one kind of failure.
-const sayMs = 1000
+// failureLogIntervalMs is the minimum time in milliseconds between two log lines about the same call and errno.
+const failureLogIntervalMs = 1000
 
-// failed counts a failed call and logs it, once a second for each kind.
-func (l *Loop) failed(call string, err error) {
+// recordFailure counts a failed system call and logs it, at most once a second for each call and errno.
+func (l *Loop) recordFailure(call string, err error) {
 	name := errnoName(err)
 	key := call + "." + name
 	l.metrics.Add(metrics.SyscallErrors, key)
 	now := l.Now()
-	if last, said := l.said[key]; said && now-last < sayMs {
+	if last, said := l.lastLoggedMs[key]; said && now-last < failureLogIntervalMs {
 		return
 	}
-	l.said[key] = now
+	l.lastLoggedMs[key] = now
 	l.log.Warn("system call failed", "call", call, "err", name, "count", l.metrics.Value(metrics.SyscallErrors, key))
 }
--- a/internal/loop/kernel.go
+++ b/internal/loop/kernel.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// kernel is the system calls that the loop makes. Tests replace single ones to have them fail.
+// kernel holds the system calls that the loop makes. Tests replace some of them to inject errors.
 type kernel struct {
 	socket      func(domain, kind, protocol int) (int, error)
 	setsockopt  func(fd, level, option, value int) error
@@ -29,9 +29,9 @@
 	eventfd     func(value uint, flags int) (int, error)
 }
 
-// linux makes the real calls. Those that bring an address are package syscall's: unix's ask getsockopt for the protocol of each,
-// and close an accepted connection when that fails.
-func linux() *kernel {
+// linuxKernel returns the real system calls. Those that return an address come from package syscall, because the functions of
+// package unix also call getsockopt for the protocol of the socket, and close an accepted connection if that call fails.
+func linuxKernel() *kernel {
 	return &kernel{
 		socket:      unix.Socket,
 		setsockopt:  unix.SetsockoptInt,
--- a/internal/loop/listener.go
+++ b/internal/loop/listener.go
@@ -12,24 +12,24 @@
 	"beechgrade/internal/metrics"
 )
 
-// backlog is how many connections may wait to be accepted; the system may allow fewer.
+// backlog is the requested limit of connections that wait to be accepted. The system may allow fewer.
 const backlog = 4096
 
-// errAddress says that an address cannot be read, which no new try changes.
-var errAddress = errors.New("not an address")
+// errInvalidAddress is returned for an address that cannot be parsed. A retry does not help.
+var errInvalidAddress = errors.New("not an IP address with a port")
 
-// listener accepts connections. One that cannot be accepted now stays in the system's queue and is accepted later.
+// listener accepts connections. A connection that cannot be accepted now stays in the system's queue and is accepted later.
 type listener struct {
-	fd     int
-	addr   string
-	tries  backoff
-	paused bool // accepting has failed and is tried again after a pause
-	hushed bool // the poller does not tell of it meanwhile
-	closed bool
+	fd        int
+	addr      string
+	backoff   backoff
+	paused    bool // accept4 has failed and is retried after a pause
+	unwatched bool // the poller does not report pending connections during the pause
+	closed    bool
 }
 
-// open listens on addr, unless another does.
-func (n *listener) open(l *Loop, addr string) error {
+// open listens on addr and registers the socket with the poller.
+func (ln *listener) open(l *Loop, addr string) error {
 	fd, err := listenOn(l.kernel, addr)
 	if err != nil {
 		return err
@@ -38,16 +38,16 @@
 		_ = l.kernel.closeFD(fd)
 		return fmt.Errorf("epoll_ctl: %w", err)
 	}
-	n.fd = fd
+	ln.fd = fd
 	if sa, err := l.kernel.getsockname(fd); err == nil {
-		addr = sockAddr(sa)
+		addr = formatSockaddr(sa)
 	}
-	n.addr = addr
+	ln.addr = addr
 	return nil
 }
 
-// listenOn makes a socket that listens on addr. An address on which another listens is refused (EADDRINUSE); one whose
-// connections are only closing still is taken.
+// listenOn creates a socket that listens on addr. It fails with EADDRINUSE if another socket listens there, but not if only
+// earlier connections of that address are still closing.
 func listenOn(k *kernel, addr string) (fd int, err error) {
 	to, family, err := sockaddrOf(addr)
 	if err != nil {
@@ -67,16 +67,16 @@
 		_ = k.closeFD(fd)
 		return 0, err
 	}
-	// Accepted sockets inherit it: an answer must not wait for the acknowledgement of the one before.
+	// Accepted sockets inherit the option. Without it an answer could wait until the client has acknowledged the previous one.
 	_ = k.setsockopt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	return fd, nil
 }
 
-// sockaddrOf reads an address and port as the system takes them.
+// sockaddrOf parses an IP address with a port and returns it as a socket address with its family.
 func sockaddrOf(addr string) (sa unix.Sockaddr, family int, err error) {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
-		return nil, 0, fmt.Errorf("%w: %w", errAddress, err)
+		return nil, 0, fmt.Errorf("%w: %w", errInvalidAddress, err)
 	}
 	if ip := to.Addr().Unmap(); ip.Is4() {
 		return &unix.SockaddrInet4{Port: int(to.Port()), Addr: ip.As4()}, unix.AF_INET, nil
@@ -84,7 +84,7 @@
 	return &unix.SockaddrInet6{Port: int(to.Port()), Addr: to.Addr().As16()}, unix.AF_INET6, nil
 }
 
-func sockAddr(sa syscall.Sockaddr) string {
+func formatSockaddr(sa syscall.Sockaddr) string {
 	switch a := sa.(type) {
 	case *syscall.SockaddrInet4:
 		return (&net.TCPAddr{IP: a.Addr[:], Port: a.Port}).String()
@@ -94,38 +94,38 @@
 	return ""
 }
 
-// ready accepts one connection; the poller tells again of those that are left. After a failure it goes on until none is left, so
-// that every one is known to have waited since then at the earliest.
-func (n *listener) ready(l *Loop) {
-	for repeats := 0; !n.paused && !n.closed; {
-		fd, _, err := l.kernel.accept4(n.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+// acceptPending accepts one connection; the poller reports the remaining ones again. After a failure it accepts until the queue
+// is empty: connections accepted until then may have arrived as early as the first failure, those accepted later cannot.
+func (ln *listener) acceptPending(l *Loop) {
+	for tries := 0; !ln.paused && !ln.closed; {
+		fd, _, err := l.kernel.accept4(ln.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		if err == nil {
-			l.accepted(fd, n.tries.sinceMs)
-			if n.tries.sinceMs == 0 {
+			l.addAccepted(fd, ln.backoff.firstFailureMs)
+			if ln.backoff.firstFailureMs == 0 {
 				return
 			}
 			continue
 		}
 		if errors.Is(err, unix.EAGAIN) {
-			n.tries.reset()
+			ln.backoff.reset()
 			return
 		}
-		l.failed("accept4", err)
-		pauseMs := n.tries.next(l.Now())
-		roomMade := outOfDescriptors(err) && l.OnDescriptorsExhausted != nil && l.OnDescriptorsExhausted()
-		if repeats++; repeats < fewRepeats && (roomMade || ofTheNewConnection(err)) {
+		l.recordFailure("accept4", err)
+		pauseMs := ln.backoff.nextPause(l.Now())
+		descriptorsFreed := outOfDescriptors(err) && l.OnDescriptorsExhausted != nil && l.OnDescriptorsExhausted()
+		if tries++; tries < immediateTries && (descriptorsFreed || isPendingConnError(err)) {
 			continue
 		}
-		n.pause(l, pauseMs)
+		ln.pause(l, pauseMs)
 	}
 }
 
-// ofTheNewConnection tells whether accept failed because of the one connection that it took from the queue, as Linux
-// passes on the errors that are pending on that.
-func ofTheNewConnection(err error) bool {
-	for _, no := range []unix.Errno{unix.EINTR, unix.ECONNABORTED, unix.ECONNRESET, unix.EPROTO, unix.ENETDOWN, unix.ENOPROTOOPT,
+// isPendingConnError reports whether accept4 failed because of the connection that it took from the queue: Linux returns the
+// errors pending on the new socket as errors of accept4.
+func isPendingConnError(err error) bool {
+	for _, errno := range []unix.Errno{unix.EINTR, unix.ECONNABORTED, unix.ECONNRESET, unix.EPROTO, unix.ENETDOWN, unix.ENOPROTOOPT,
 		unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH} {
-		if errors.Is(err, no) {
+		if errors.Is(err, errno) {
 			return true
 		}
 	}
@@ -133,61 +133,62 @@
 }
 
 // pause stops accepting for a while.
-func (n *listener) pause(l *Loop, ms float64) {
-	n.paused = true
-	if !n.hushed {
-		err := l.poller.modify(n.fd, listenRef, 0)
-		if n.hushed = err == nil; err != nil { // the poller tells again and again meanwhile, which only costs time
-			l.failed("epoll_ctl", err)
+func (ln *listener) pause(l *Loop, ms float64) {
+	ln.paused = true
+	if !ln.unwatched {
+		err := l.poller.modify(ln.fd, listenRef, 0)
+		if ln.unwatched = err == nil; err != nil { // the poller keeps reporting the listener, which only costs time
+			l.recordFailure("epoll_ctl", err)
 		}
 	}
-	l.At(l.Now()+ms, func() { n.resume(l) })
+	l.At(l.Now()+ms, func() { ln.resume(l) })
 }
 
-// resume accepts again, first by itself, as the poller may not be able to tell of the listener yet.
-func (n *listener) resume(l *Loop) {
-	if n.closed {
+// resume ends a pause. It accepts before it registers the listener again, because the poller may still refuse the registration.
+func (ln *listener) resume(l *Loop) {
+	if ln.closed {
 		return
 	}
-	n.paused = false
-	n.ready(l)
-	if n.paused || !n.hushed {
+	ln.paused = false
+	ln.acceptPending(l)
+	if ln.paused || !ln.unwatched {
 		return
 	}
-	if err := l.poller.modify(n.fd, listenRef, unix.EPOLLIN); err != nil {
-		l.failed("epoll_ctl", err)
-		n.pause(l, firstPauseMs)
+	if err := l.poller.modify(ln.fd, listenRef, unix.EPOLLIN); err != nil {
+		l.recordFailure("epoll_ctl", err)
+		ln.pause(l, firstRetryPauseMs)
 		return
 	}
-	n.hushed = false
+	ln.unwatched = false
 }
 
-// StopListening accepts what waits and has later clients refused, who can then go elsewhere. It tells whether it could.
+// StopListening accepts the waiting connections and closes the listening socket, so that later clients are refused and can
+// connect to another pooler. It reports whether it succeeded; it does not while accepting is paused after a failure.
 func (l *Loop) StopListening() bool {
-	n := &l.listener
-	if n.closed {
+	ln := &l.listener
+	if ln.closed {
 		return true
 	}
-	n.tries.next(l.Now()) // so that it accepts until none is left
-	if n.ready(l); n.paused {
+	ln.backoff.nextPause(l.Now()) // counts as a failure, so that acceptPending empties the queue
+	if ln.acceptPending(l); ln.paused {
 		return false
 	}
-	n.close(l)
+	ln.close(l)
 	return true
 }
 
-func (n *listener) close(l *Loop) {
-	if !n.closed {
-		n.closed = true
-		_ = l.kernel.closeFD(n.fd)
+func (ln *listener) close(l *Loop) {
+	if !ln.closed {
+		ln.closed = true
+		_ = l.kernel.closeFD(ln.fd)
 	}
 }
 
-// accepted takes a connection over, which may have come at the given time, 0 for only now.
-func (l *Loop) accepted(fd int, since float64) {
+// addAccepted opens an accepted connection. earliestArrivalMs is the earliest time at which it may have arrived, 0 for now.
+func (l *Loop) addAccepted(fd int, earliestArrivalMs float64) {
 	l.metrics.Add(metrics.Connections, "accepted")
-	c := l.newConn(fd, l.accept())
-	c.state, c.lateSince = open, since
-	c.watch()
-	c.h.Opened(c)
+	c := l.newConn(fd, l.newHandler())
+	c.state, c.earliestArrivalMs = stateOpen, earliestArrivalMs
+	c.updateInterest()
+	c.handler.Opened(c)
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,8 +1,9 @@
-// Package loop is the program's event loop, on one goroutine. It owns all state: accepted and dialled connections, posted
-// functions and deadlines all run on it, one at a time, so nothing needs a lock.
+// Package loop implements the program's event loop, which runs on one goroutine. The handlers of accepted and dialled
+// connections, posted functions and timers all run on that goroutine, one at a time, so the state that they share needs no
+// lock.
 //
-// A failing system call never ends the loop, nor a connection that may still be sound: see the table in errno.go. Once it serves,
-// the loop ends when Shutdown is called, and for no other reason.
+// A failing system call never ends the loop, nor a connection that may still be usable: see the table in errno.go. Once it
+// serves, the loop ends only when Shutdown is called.
 package loop
 
 import (
@@ -21,120 +22,120 @@
 	"beechgrade/internal/slots"
 )
 
-// Handler is told of one connection. Data is valid during the call only.
+// Handler receives the events of one connection. The slice passed to Data is valid only during the call.
 type Handler interface {
 	Opened(c *Conn)
 	Data(b []byte)
 	Closed(err error)
 }
 
-// unpolledMs is the time between two looks at all connections while the poller fails.
-const unpolledMs = 10
+// maxPollRetryPauseMs is the longest pause in milliseconds between two passes over all connections while epoll_wait fails.
+const maxPollRetryPauseMs = 10
 
-// readSize is how many bytes one read takes at most.
-const readSize = 1 << 16
+// readBufferSize is the largest number of bytes that one read returns.
+const readBufferSize = 1 << 16
 
-// Loop is the event loop. Now, At, StopTimer and Conn's methods are for functions that run on it; Post may be called from
-// anywhere.
+// Loop is the event loop. Now, At, StopTimer and the methods of Conn may only be called by functions that run on it. Post may be
+// called from any goroutine.
 type Loop struct {
-	// OnReady, if it is set before Run, runs on the loop once it serves.
+	// OnReady, if set before Run, is called on the loop once it listens.
 	OnReady func()
-	// OnDescriptorsExhausted, if it is set before Run, is called when the process has no descriptor left. It may close
-	// connections, and reports whether it did.
+	// OnDescriptorsExhausted, if set before Run, is called when no file descriptor is left. It may close connections, and reports
+	// whether it did.
 	OnDescriptorsExhausted func() bool
 
-	clk     clock.Clock
-	log     *slog.Logger
-	kernel  *kernel
-	accept  func() Handler
-	start   func()
-	metrics *metrics.Set
-
-	poller   *poller
-	listener listener
-	heap     deadline.Heap
-	conns    slots.Table[*Conn]
-	made     uint64 // connections so far
-	buffer   []byte // for reads
-	polling  backoff
-	said     map[string]float64 // when a kind of failure was logged last
-	ending   bool
-
-	told       float64 // when the poller told all that had happened by then...
-	toldBefore float64 // ...and the time before that
-
-	mu     sync.Mutex
-	posted []func()
-	awake  bool // it has been woken for what is posted, or will look by itself
-	over   bool // it has ended
+	clk        clock.Clock
+	log        *slog.Logger
+	kernel     *kernel
+	newHandler func() Handler
+	onStart    func()
+	metrics    *metrics.Set
+
+	poller       *poller
+	listener     listener
+	timers       deadline.Heap
+	conns        slots.Table[*Conn]
+	lastConnID   uint64 // number of connections created so far
+	readBuffer   []byte
+	pollBackoff  backoff
+	lastLoggedMs map[string]float64 // by call and errno: time of the last log line about that failure
+	shuttingDown bool
+
+	lastPollMs     float64 // time of the last poll that returned all pending events, or that failed
+	previousPollMs float64 // time of the poll before that one; its events have all been handled
+
+	mu          sync.Mutex
+	posted      []func()
+	wakePending bool // no further wake-up is needed: one is pending, or the loop takes the posted functions before it polls
+	ended       bool
 }
 
-// New makes a loop. accept makes the handler of each accepted connection; start runs on the loop before
-// anything else.
-func New(clk clock.Clock, log *slog.Logger, accept func() Handler, start func()) *Loop {
-	return &Loop{clk: clk, log: log, kernel: linux(), accept: accept, start: start, metrics: metrics.New(),
-		buffer: make([]byte, readSize), said: map[string]float64{}, awake: true}
+// New creates a loop. newHandler returns the handler for an accepted connection. onStart runs on the loop before anything else.
+func New(clk clock.Clock, log *slog.Logger, newHandler func() Handler, onStart func()) *Loop {
+	return &Loop{clk: clk, log: log, kernel: linuxKernel(), newHandler: newHandler, onStart: onStart, metrics: metrics.New(),
+		readBuffer: make([]byte, readBufferSize), lastLoggedMs: map[string]float64{}, wakePending: true}
 }
 
-// Metrics is the counters of the pooler that runs on this loop.
+// Metrics returns the counters of the pooler that runs on this loop.
 func (l *Loop) Metrics() *metrics.Set { return l.metrics }
 
 // Run listens on addr and serves until Shutdown. It returns an error if it cannot begin to serve.
 func (l *Loop) Run(addr string) error {
-	if err := l.open(addr); err != nil {
+	if err := l.openWithRetry(addr); err != nil {
 		return err
 	}
-	defer l.shut()
-	l.told = l.Now()
-	l.toldBefore = l.told
-	l.start()
+	defer l.closePoller()
+	l.lastPollMs = l.Now()
+	l.previousPollMs = l.lastPollMs
+	l.onStart()
 	if l.OnReady != nil {
 		l.OnReady()
 	}
-	l.turn()
-	for !l.ending {
-		events, err := l.poller.wait(l.waitMs())
+	l.runPending()
+	for !l.shuttingDown {
+		events, err := l.poller.wait(l.pollTimeoutMs())
 		if err != nil {
-			l.unpolled(err)
+			l.handlePollError(err)
 			continue
 		}
-		l.polling.reset()
-		if len(events) < eventsAtOnce {
-			l.toldBefore, l.told = l.told, l.Now()
+		l.pollBackoff.reset()
+		if len(events) < maxEventsPerWait {
+			l.previousPollMs, l.lastPollMs = l.lastPollMs, l.Now()
 		}
 		for i := range events {
-			l.happened(&events[i])
-			l.turn()
+			l.handleEvent(&events[i])
+			l.runPending()
 		}
-		l.turn()
+		l.runPending()
 	}
 	l.listener.close(l)
-	l.conns.Each(func(_ slots.Ref, c *Conn) { c.Close(closeEnd) })
+	l.conns.Each(func(_ slots.Ref, c *Conn) { c.Close(closeLoopEnded) })
 	return nil
 }
 
-// shut lets go of the poller. What is posted from now on goes nowhere.
-func (l *Loop) shut() {
+// closePoller closes the poller. Functions posted afterwards are dropped.
+func (l *Loop) closePoller() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.over = true
+	l.ended = true
 	l.poller.close()
 }
 
-// open begins to listen. What fails for a moment is tried again for some seconds: nobody else starts the process anew.
-func (l *Loop) open(addr string) error {
-	var tries backoff
+// openWithRetry opens the poller and the listener. It retries transient failures for persistentFailureMs, because nothing
+// restarts the process if it exits.
+func (l *Loop) openWithRetry(addr string) error {
+	var openBackoff backoff
 	for {
 		err := l.openOnce(addr)
 		if err == nil {
 			return nil
 		}
 		now := l.Now()
-		if errors.Is(err, errAddress) || tries.enduring(now) {
+		if errors.Is(err, errInvalidAddress) || openBackoff.persistent(now) {
 			return fmt.Errorf("listen: %w", err)
 		}
-		l.failed("listen", err)
-		time.Sleep(clock.Duration(tries.next(now)))
+		l.recordFailure("listen", err)
+		time.Sleep(clock.Duration(openBackoff.nextPause(now)))
 	}
 }
 
@@ -148,121 +149,122 @@
 	return l.listener.open(l, addr)
 }
 
-// unpolled handles a wait that has failed. While that lasts, connections are read and written without the poller.
-func (l *Loop) unpolled(err error) {
-	first := l.polling.sinceMs == 0
-	pauseMs := l.polling.next(l.Now())
-	if errors.Is(err, unix.EINTR) && first { // by a signal
-		l.turn()
+// handlePollError handles a failed wait: it accepts, reads and writes without the poller. A single interruption is not a failure.
+func (l *Loop) handlePollError(err error) {
+	first := l.pollBackoff.firstFailureMs == 0
+	pauseMs := l.pollBackoff.nextPause(l.Now())
+	if errors.Is(err, unix.EINTR) && first { // interrupted by a signal
+		l.runPending()
 		return
 	}
-	l.failed("epoll_wait", err)
-	l.toldBefore, l.told = l.told, l.Now()
-	time.Sleep(clock.Duration(min(pauseMs, unpolledMs)))
-	l.listener.ready(l)
+	l.recordFailure("epoll_wait", err)
+	l.previousPollMs, l.lastPollMs = l.lastPollMs, l.Now()
+	time.Sleep(clock.Duration(min(pauseMs, maxPollRetryPauseMs)))
+	l.listener.acceptPending(l)
 	l.conns.Each(func(_ slots.Ref, c *Conn) {
-		c.tryAgain()
-		l.turn()
+		c.retryIO()
+		l.runPending()
 	})
-	l.turn()
+	l.runPending()
 }
 
-// happened carries out one event.
-func (l *Loop) happened(e *unix.EpollEvent) {
-	switch ref := refOf(e); ref {
+// handleEvent handles one event of the poller.
+func (l *Loop) handleEvent(e *unix.EpollEvent) {
+	switch ref := eventRef(e); ref {
 	case wakeRef:
-		if err := l.poller.woken(); err != nil {
-			l.failed("read", err)
+		if err := l.poller.resetWake(); err != nil {
+			l.recordFailure("read", err)
 		}
 	case listenRef:
-		l.listener.ready(l)
+		l.listener.acceptPending(l)
 	default:
 		if c, ok := l.conns.Get(ref); ok {
-			c.happened(e.Events)
+			c.handleEvents(e.Events)
 		}
 	}
 }
 
-// waitMs is how long the poller may wait: until the next deadline, rounded up.
-func (l *Loop) waitMs() int {
-	if l.ending {
+// pollTimeoutMs returns the time in milliseconds until the next timer expires, rounded up, or -1 if no timer is set.
+func (l *Loop) pollTimeoutMs() int {
+	if l.shuttingDown {
 		return 0
 	}
-	at, ok := l.heap.Next()
+	at, ok := l.timers.Next()
 	if !ok {
 		return -1
 	}
 	return int(min(max(0, math.Ceil(at-l.clk.Now())), math.MaxInt32))
 }
 
-// turn runs what is posted and what is due. It runs between callbacks, never inside one.
-func (l *Loop) turn() {
+// runPending runs the posted functions and the expired timers. It is called between callbacks, never inside one.
+func (l *Loop) runPending() {
 	for _, f := range l.takePosted() {
 		f()
 	}
-	l.heap.Run(l.clk.Now())
+	l.timers.Run(l.clk.Now())
 }
 
 func (l *Loop) takePosted() []func() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	posted := l.posted
-	l.posted, l.awake = nil, false
+	l.posted, l.wakePending = nil, false
 	return posted
 }
 
-// Post runs f on the loop. It may be called from any goroutine.
+// Post schedules f to run on the loop. It may be called from any goroutine.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.over {
+	if l.ended {
 		return
 	}
 	l.posted = append(l.posted, f)
-	if !l.awake {
-		l.awake = true
+	if !l.wakePending {
+		l.wakePending = true
 		l.wake()
 	}
 }
 
-// wake ends the poller's wait. A wake-up that fails is tried until the loop has seen what is posted. It is called with the lock,
-// as the descriptor that it writes to is closed under it.
+// wake interrupts the poller's wait. If that fails, it is retried until the loop has taken the posted functions. The caller holds
+// mu, because closePoller closes the eventfd while holding it.
 func (l *Loop) wake() {
 	err := l.poller.wake()
 	if err == nil {
 		return
 	}
 	l.metrics.Add(metrics.SyscallErrors, "eventfd_write."+errnoName(err))
-	time.AfterFunc(clock.Duration(firstPauseMs), func() {
+	time.AfterFunc(clock.Duration(firstRetryPauseMs), func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if l.awake && !l.over {
+		if l.wakePending && !l.ended {
 			l.wake()
 		}
 	})
 }
 
-// Shutdown stops the loop; Run returns.
-func (l *Loop) Shutdown() { l.Post(func() { l.ending = true }) }
+// Shutdown makes the loop close all connections and Run return.
+func (l *Loop) Shutdown() { l.Post(func() { l.shuttingDown = true }) }
 
-// Addr is the address that the loop listens on, with its port where any was asked for.
+// Addr returns the address that the loop listens on, with the actual port if port 0 was requested.
 func (l *Loop) Addr() string { return l.listener.addr }
 
-// AcceptPaused reports whether clients may be waiting to be accepted because accepting has failed.
+// AcceptPaused reports whether accepting is paused after a failure, so that clients may be waiting in the queue.
 func (l *Loop) AcceptPaused() bool { return l.listener.paused }
 
-// staleMs is how long ago the poller may have been asked last: less than 100 ms, after which no attempt may begin for a client
-// that has gone.
-const staleMs = 50
+// pollOverdueMs is the time in milliseconds without a complete poll after which the loop may have missed that a client has closed
+// its connection. It must be below 100 ms: no attempt may begin for a client that has been gone for that long.
+const pollOverdueMs = 50
 
-// PollOverdue reports whether the loop was held up, or idle, for so long that a client may have gone unnoticed.
-func (l *Loop) PollOverdue() bool { return l.Now()-l.toldBefore > staleMs }
+// PollOverdue reports whether the loop was paused or idle for so long that a client may have closed its connection unnoticed. It
+// counts from the poll before the last one, because events of the last one may not have been handled yet.
+func (l *Loop) PollOverdue() bool { return l.Now()-l.previousPollMs > pollOverdueMs }
 
-// Now is the time in milliseconds.
+// Now returns the time in milliseconds.
 func (l *Loop) Now() float64 { return l.clk.Now() }
 
-// At runs f on the loop at the given time.
-func (l *Loop) At(ms float64, f func()) *deadline.Timer { return l.heap.Add(ms, f) }
+// At schedules f to run on the loop at the given time in milliseconds.
+func (l *Loop) At(ms float64, f func()) *deadline.Timer { return l.timers.Add(ms, f) }
 
-// StopTimer removes a timer.
-func (l *Loop) StopTimer(t *deadline.Timer) { l.heap.Stop(t) }
+// StopTimer cancels a timer. It does nothing if the timer is nil or has expired.
+func (l *Loop) StopTimer(t *deadline.Timer) { l.timers.Stop(t) }
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -12,36 +12,36 @@
 	"beechgrade/internal/clock"
 )
 
-// watcher hands out its connection.
-type watcher struct{ opened chan *Conn }
+// openedHandler is a Handler that sends its connection to a channel once it is open.
+type openedHandler struct{ opened chan *Conn }
 
-func (w watcher) Opened(c *Conn) { w.opened <- c }
-func (w watcher) Data([]byte)    {}
-func (w watcher) Closed(error)   {}
+func (h openedHandler) Opened(c *Conn) { h.opened <- c }
+func (h openedHandler) Data([]byte)    {}
+func (h openedHandler) Closed(error)   {}
 
-// TestQuietSeesAnEndNotYetTold guards against writing a request to a connection that its server has closed while the loop
-// was at something else: that request would count as one that may have run.
-func TestQuietSeesAnEndNotYetTold(t *testing.T) {
-	w := watcher{make(chan *Conn, 9)}
-	started, ended := make(chan struct{}), make(chan error, 1)
-	l := New(clock.System(), slog.New(slog.DiscardHandler), func() Handler { return watcher{make(chan *Conn, 1)} },
+// TestNoPendingInputSeesUnreportedClose guards against writing a request to a connection that the server has closed while the
+// loop was busy. Such a request would count as one that may have been executed.
+func TestNoPendingInputSeesUnreportedClose(t *testing.T) {
+	handler := openedHandler{make(chan *Conn, 9)}
+	started, runErr := make(chan struct{}), make(chan error, 1)
+	l := New(clock.System(), slog.New(slog.DiscardHandler), func() Handler { return openedHandler{make(chan *Conn, 1)} },
 		func() { close(started) })
-	go func() { ended <- l.Run("127.0.0.1:0") }()
+	go func() { runErr <- l.Run("127.0.0.1:0") }()
 	<-started
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Post(func() { l.Dial(server.Addr().String(), 5000, w, func(err error) { t.Error(err) }) })
-	far, err := server.Accept()
+	l.Post(func() { l.Dial(server.Addr().String(), 5000, handler, func(err error) { t.Error(err) }) })
+	serverConn, err := server.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := <-w.opened
+	c := <-handler.opened
 	done := make(chan [2]bool)
-	l.Post(func() { // the loop stands here and cannot be told of the close
+	l.Post(func() { // the loop does not poll while this function runs, so it cannot notice the close
 		before := c.NoPendingInput()
-		_ = far.Close()
+		_ = serverConn.Close()
 		after := c.NoPendingInput()
 		for end := time.Now().Add(20 * time.Second); after && time.Now().Before(end); {
 			after = c.NoPendingInput()
@@ -49,47 +49,48 @@
 		done <- [2]bool{before, after}
 	})
 	if got := <-done; got != [2]bool{true, false} {
-		t.Errorf("quiet before and after the close: %v", got)
+		t.Errorf("NoPendingInput before and after the close: %v, want [true false]", got)
 	}
 	l.Shutdown()
-	if err := <-ended; err != nil {
+	if err := <-runErr; err != nil {
 		t.Error(err)
 	}
 }
 
-// TestAddressInUse: an address on which another listens is not shared with it; one whose connections are only closing still is
-// taken. The first client that comes is taken by the very socket that goes on listening, and never reset by a look at the address.
+// TestAddressInUse tests that listenOn fails if another socket listens on the address, and succeeds if only connections in
+// TIME_WAIT are left. The first client must be accepted by the socket that listenOn returns: a separate check whether the address
+// is free would accept and reset it.
 func TestAddressInUse(t *testing.T) {
 	other, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := other.Addr().String()
-	if _, err := listenOn(linux(), addr); !errors.Is(err, unix.EADDRINUSE) {
-		t.Errorf("while another listens: %v", err)
+	if _, err := listenOn(linuxKernel(), addr); !errors.Is(err, unix.EADDRINUSE) {
+		t.Errorf("while another socket listens: got %v, want EADDRINUSE", err)
 	}
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	far, err := other.Accept()
+	accepted, err := other.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _, _ = far.Close(), c.Close(), other.Close() // the listener's side is in TIME_WAIT
-	fd, err := listenOn(linux(), addr)
+	_, _, _ = accepted.Close(), c.Close(), other.Close() // leaves the listener's side in TIME_WAIT
+	fd, err := listenOn(linuxKernel(), addr)
 	if err != nil {
-		t.Fatalf("while a connection is closing: %v", err)
+		t.Fatalf("while a connection is in TIME_WAIT: %v", err)
 	}
 	defer func() { _ = unix.Close(fd) }()
-	came, err := net.Dial("tcp", addr)
+	client, err := net.Dial("tcp", addr)
 	if err != nil {
-		t.Fatalf("a client that comes as soon as it can: %v", err)
+		t.Fatalf("connecting immediately after listening began: %v", err)
 	}
-	defer func() { _ = came.Close() }()
-	taken, _, err := unix.Accept4(fd, unix.SOCK_CLOEXEC)
+	defer func() { _ = client.Close() }()
+	acceptedFD, _, err := unix.Accept4(fd, unix.SOCK_CLOEXEC)
 	if err != nil {
-		t.Fatalf("it is not taken: %v", err)
+		t.Fatalf("accepting the first client: %v", err)
 	}
-	_ = unix.Close(taken)
+	_ = unix.Close(acceptedFD)
 }
--- a/internal/loop/poller.go
+++ b/internal/loop/poller.go
@@ -8,17 +8,17 @@
 	"beechgrade/internal/slots"
 )
 
-// Names of the descriptors that are no connections, in place of a connection's slot.
+// References for the descriptors that are not connections and thus have no slot in the table of connections.
 var (
 	wakeRef   = slots.Ref{Index: 1<<31 - 1}
 	listenRef = slots.Ref{Index: 1<<31 - 2}
 )
 
-// eventsAtOnce is how many events one wait brings at most.
-const eventsAtOnce = 256
+// maxEventsPerWait is the largest number of events that one wait returns.
+const maxEventsPerWait = 256
 
-// poller wraps epoll, level-triggered. An event names the slot of its connection with its generation, so that one that was
-// already fetched for a closed connection never meets the next one with the same descriptor.
+// poller wraps level-triggered epoll. Each event carries the slot and the generation of its connection. An event that was fetched
+// before its connection was closed is therefore never delivered to a later connection that reuses the descriptor or the slot.
 type poller struct {
 	kernel *kernel
 	fd     int
@@ -26,9 +26,9 @@
 	events []unix.EpollEvent
 }
 
-// openPoller makes a poller that can be woken.
+// openPoller creates a poller and registers an eventfd, through which wake interrupts a wait.
 func openPoller(k *kernel) (*poller, error) {
-	p := &poller{kernel: k, wakeFD: -1, events: make([]unix.EpollEvent, eventsAtOnce)}
+	p := &poller{kernel: k, wakeFD: -1, events: make([]unix.EpollEvent, maxEventsPerWait)}
 	var err error
 	if p.fd, err = k.epollCreate(unix.EPOLL_CLOEXEC); err != nil {
 		return nil, fmt.Errorf("epoll_create1: %w", err)
@@ -44,26 +44,26 @@
 	return p, nil
 }
 
-// add has events on a descriptor told under a name.
+// add registers fd for the given events, which are reported with ref.
 func (p *poller) add(fd int, ref slots.Ref, events uint32) error {
-	return p.kernel.epollCtl(p.fd, unix.EPOLL_CTL_ADD, fd, event(ref, events))
+	return p.kernel.epollCtl(p.fd, unix.EPOLL_CTL_ADD, fd, newEvent(ref, events))
 }
 
-// modify changes which events on a descriptor are told.
+// modify changes the events that are reported for fd.
 func (p *poller) modify(fd int, ref slots.Ref, events uint32) error {
-	return p.kernel.epollCtl(p.fd, unix.EPOLL_CTL_MOD, fd, event(ref, events))
+	return p.kernel.epollCtl(p.fd, unix.EPOLL_CTL_MOD, fd, newEvent(ref, events))
 }
 
-func event(ref slots.Ref, events uint32) *unix.EpollEvent {
+func newEvent(ref slots.Ref, events uint32) *unix.EpollEvent {
 	return &unix.EpollEvent{Events: events, Fd: int32(ref.Index), Pad: int32(ref.Generation)}
 }
 
-// refOf reads an event's name.
-func refOf(e *unix.EpollEvent) slots.Ref {
+// eventRef returns the reference that an event carries.
+func eventRef(e *unix.EpollEvent) slots.Ref {
 	return slots.Ref{Index: uint32(e.Fd), Generation: uint32(e.Pad)}
 }
 
-// wait waits for events, for so many milliseconds at most, -1 for without end.
+// wait waits for events, for at most ms milliseconds, or without limit if ms is -1.
 func (p *poller) wait(ms int) ([]unix.EpollEvent, error) {
 	n, err := p.kernel.epollWait(p.fd, p.events, ms)
 	if err != nil {
@@ -72,17 +72,17 @@
 	return p.events[:n], nil
 }
 
-// wake has a wait return. It may be called from any goroutine.
+// wake makes the current or the next wait return. It may be called from any goroutine.
 func (p *poller) wake() error {
 	_, err := p.kernel.write(p.wakeFD, []byte{1, 0, 0, 0, 0, 0, 0, 0})
-	if err == unix.EAGAIN { // it has been woken more often than can be counted
+	if err == unix.EAGAIN { // the counter of the eventfd is at its maximum, so a wake-up is pending
 		return nil
 	}
 	return err
 }
 
-// woken takes back what wake did.
-func (p *poller) woken() error {
+// resetWake resets the eventfd, so that it no longer interrupts waits.
+func (p *poller) resetWake() error {
 	var b [8]byte
 	_, err := p.kernel.read(p.wakeFD, b[:])
 	if err == unix.EAGAIN {
