--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -184,7 +184,8 @@
 	}
 }
 
-// pollTimeoutMs returns the time in milliseconds until the next timer expires, rounded up, or -1 if no timer is set.
+// pollTimeoutMs returns the time in milliseconds until the next timer expires, rounded up, -1 if no timer is set, or 0 during
+// shutdown.
 func (l *Loop) pollTimeoutMs() int {
 	if l.shuttingDown {
 		return 0
