--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -151,7 +151,8 @@
 		x, err := strconv.ParseFloat(val, 64)
 		switch {
 		case err != nil:
-		case name == "x0" && p.plausiblePosition(x*1000): // truncated to whole milliseconds: the server may have rounded it up
+		case name == "x0" && p.plausiblePosition(x*1000):
+			// Truncate to whole milliseconds, because the printed value may have been rounded up.
 			o.Position, o.HasPosition = clock.FromUnix(int64(x*1000)), true
 		case name == "x1" && x == 1:
 			o.Role = beechgrade.RolePrimary
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -89,8 +89,8 @@
 	})
 	for len(s.idle) > 0 {
 		c := s.idle[len(s.idle)-1]
-		// The server may have closed the connection before the loop has read the end of the stream. A request written
-		// now would end in a reset, and an unsafe one could not be retried.
+		// The server may have closed the connection without the loop having read the end of the stream yet. A request
+		// written now would end in a reset, and one that must not run twice could not be retried.
 		if !c.loopConn.NoPendingInput() {
 			c.loopConn.Close(closeUnexpectedInput)
 			continue
@@ -132,7 +132,8 @@
 	}
 	if c != nil {
 		// Detach the attempt first, because the close would report a reset for it. Close the connection before the outcome
-		// is reported, because that call may send the request to another server at once.
+		// is reported, because that call may send the request to another server at once, and then two attempts would be
+		// in flight.
 		c.attempt, a.conn = nil, nil
 		c.loopConn.Close(closeAttemptAborted)
 		p.finish(a, Outcome{Result: r})
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -72,9 +72,9 @@
 func (tp *testPool) waitUntil(f func() bool) {
 	tp.t.Helper()
 	for end := time.Now().Add(20 * time.Second); ; {
-		var is bool
-		tp.runOnLoop(func() { is = f() })
-		if is {
+		var ok bool
+		tp.runOnLoop(func() { ok = f() })
+		if ok {
 			return
 		}
 		if time.Now().After(end) {
@@ -189,7 +189,7 @@
 // is still buffered. The rest must not be sent with the close, because the attempt is reported as not sent and the request
 // is sent again.
 func TestUnsentRestIsDiscarded(t *testing.T) {
-	for name, ends := range map[string]func(p *Pool, ref slots.Ref, serverConn net.Conn){
+	for name, closeConn := range map[string]func(p *Pool, ref slots.Ref, serverConn net.Conn){
 		"cancelled":                     func(p *Pool, ref slots.Ref, _ net.Conn) { p.CancelAttempt(ref) },
 		"end of stream from the server": nil,
 	} {
@@ -203,47 +203,48 @@
 			})
 			serverConn := accept(t, server)
 			write(t, serverConn, pgwire.AppendStartupReply(nil))
-			var out *conn
+			var sending *conn
 			tp.waitUntil(func() bool { // the socket buffer is full
-				out = tp.pool.busyConn()
-				return out != nil
+				sending = tp.pool.busyConn()
+				return sending != nil
 			})
-			whole, read := len(largeQuery{}.AppendQuery(nil, 0)), 0
+			querySize, received := len(largeQuery{}.AppendQuery(nil, 0)), 0
 			tp.runOnLoop(func() { // this blocks the loop, so that it does not send more by itself
 				buf := make([]byte, 1<<20)
-				for read < whole-out.loopConn.UnsentBytes() {
+				for received < querySize-sending.loopConn.UnsentBytes() {
 					n, err := serverConn.Read(buf)
-					if read += n; err != nil {
+					if received += n; err != nil {
 						t.Error(err)
 						return
 					}
 				}
-				if ends != nil {
-					ends(tp.pool, ref, serverConn)
+				if closeConn != nil {
+					closeConn(tp.pool, ref, serverConn)
 				} else {
 					_ = serverConn.(*net.TCPConn).CloseWrite()
-					for out.loopConn.NoPendingInput() { // until the end of the stream can be read
+					for sending.loopConn.NoPendingInput() { // until the end of the stream can be read
 						runtime.Gosched()
 					}
-					out.loopConn.Close("test")
+					sending.loopConn.Close("test")
 				}
 			})
 			n, _ := io.Copy(io.Discard, serverConn)
-			if tp.nextOutcome(); read+int(n) >= whole || n > 0 {
-				t.Errorf("%d bytes of %d arrived, %d of them with the close", read+int(n), whole, n)
+			if tp.nextOutcome(); received+int(n) >= querySize || n > 0 {
+				t.Errorf("%d bytes of %d arrived, %d of them with the close; want a part, and none with the close",
+					received+int(n), querySize, n)
 			}
 		})
 	}
 }
 
 // busyConn returns a connection with a query in flight, or nil.
-func (p *Pool) busyConn() (out *conn) {
+func (p *Pool) busyConn() (found *conn) {
 	p.conns.Each(func(_ slots.Ref, c *conn) {
 		if c.state == busy {
-			out = c
+			found = c
 		}
 	})
-	return out
+	return found
 }
 
 // TestDrainDuringConnect: a server begins to drain while attempts wait for connections to it. They must not be sent when the
@@ -257,19 +258,19 @@
 			tp.pool.StartAttempt("s", events, tp.clk.Ms+9000, math.Inf(1), true, AttemptID{})
 		}
 	})
-	slow := []net.Conn{accept(t, server), accept(t, server)}
+	serverConns := []net.Conn{accept(t, server), accept(t, server)}
 	tp.runOnLoop(func() { tp.pool.Drain("s") })
-	for _, serverConn := range slow {
+	for _, serverConn := range serverConns {
 		if o := tp.nextOutcome(); o.Result != beechgrade.Skipped {
-			t.Errorf("result %v", o.Result)
+			t.Errorf("result %v, want skipped", o.Result)
 		}
 		write(t, serverConn, pgwire.AppendStartupReply(nil))
 	}
 	tp.waitUntil(func() bool { return len(tp.pool.servers["s"].idle) == 2 })
 	tp.runOnLoop(func() { tp.pool.Drain("s") })
-	for _, serverConn := range slow {
+	for _, serverConn := range serverConns {
 		if n, _ := io.Copy(io.Discard, serverConn); n > 0 {
-			t.Errorf("%d bytes were sent", n)
+			t.Errorf("%d bytes were sent to a draining server, want none", n)
 		}
 	}
 }
@@ -291,12 +292,12 @@
 			tp.pool.StartAttempt("s", events, tp.clk.Ms+9000, tp.clk.Ms+100, true, AttemptID{})
 			tp.pool.StartAttempt("s", events, tp.clk.Ms+9000, math.Inf(1), true, AttemptID{Number: 1})
 		})
-		slow := []net.Conn{accept(t, server), accept(t, server)}
+		serverConns := []net.Conn{accept(t, server), accept(t, server)}
 		if expire == nil {
 			tp.runOnLoop(func() { tp.clk.Ms += 100 })
 		}
 		tp.runOnLoop(func() {
-			for _, serverConn := range slow {
+			for _, serverConn := range serverConns {
 				write(t, serverConn, pgwire.AppendStartupReply(nil))
 			}
 			tp.pool.conns.Each(func(_ slots.Ref, c *conn) {
@@ -309,12 +310,12 @@
 			}
 		})
 		if o := tp.nextOutcome(); o.Result != beechgrade.Skipped {
-			t.Errorf("%s: result %v", name, o.Result)
+			t.Errorf("%s: result %v, want skipped", name, o.Result)
 		}
 		tp.waitUntil(func() bool { return tp.pool.busyConn() != nil })
 		tp.runOnLoop(func() { tp.pool.Drain("s") })
 		got := 0
-		for _, serverConn := range slow {
+		for _, serverConn := range serverConns {
 			_ = serverConn.SetReadDeadline(time.Now().Add(20 * time.Second))
 			if n, _ := serverConn.Read(make([]byte, 999)); n > 0 {
 				got++
@@ -412,7 +413,7 @@
 	p.opt.ReportFields = []string{"busy_reqs"}
 	const report = "busy_reqs=7"
 	if got := p.parseReport(append([]byte{0, 1, 0, 0, 0, byte(len(report))}, report...)); got.Result != beechgrade.OK {
-		t.Errorf("%q: result %v", report, got.Result)
+		t.Errorf("%q: result %v, want ok", report, got.Result)
 	}
 }
 
@@ -451,7 +452,7 @@
 	select {
 	case o := <-events:
 		if o.Result != beechgrade.Failed {
-			t.Errorf("result %v", o.Result)
+			t.Errorf("result %v, want failed", o.Result)
 		}
 	case <-time.After(20 * time.Second):
 		t.Fatal("no outcome was reported within 20 s")
@@ -459,7 +460,7 @@
 	done := make(chan int)
 	l.Post(func() { done <- p.answerBytes })
 	if n := <-done; n != 0 {
-		t.Errorf("%d bytes still count as buffered", n)
+		t.Errorf("%d bytes still count as buffered, want 0", n)
 	}
 	l.Shutdown()
 	if err := <-ended; err != nil {
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -43,7 +43,7 @@
 	state         state
 	input         pgwire.Reader
 	attempt       *attempt
-	queryBuffered bool            // the whole query was passed to the socket or its buffer
+	queryBuffered bool            // the whole query was passed to loopConn, which may still hold a part
 	idleSeq       uint64          // orders idle connections by the time at which they became idle
 	idleSince     float64         // when the connection last became ready for a query
 	writtenAt     float64         // when the current query was written
--- a/internal/backend/idle_timeout.go
+++ b/internal/backend/idle_timeout.go
@@ -22,7 +22,7 @@
 type idleTimeoutEstimate struct {
 	requests, losses [len(idleBucketsMs)]float64
 	updatedAt        float64
-	limitMs          float64 // the estimate, or +Inf: connections that are idle for this long have probably expired
+	limitMs          float64 // connections that were idle for this long have probably expired; +Inf without enough losses
 }
 
 func newIdleTimeoutEstimate() idleTimeoutEstimate { return idleTimeoutEstimate{limitMs: math.Inf(1)} }
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -18,8 +18,8 @@
 	AppendQuery(dst []byte, timeLimitMs int) []byte
 }
 
-// Events receives the outcomes of attempts and probes. Its methods may be called from within StartAttempt, CancelAttempt and
-// Probe.
+// Events receives the outcomes of attempts and probes. Its methods may be called from within any method of Pool that starts,
+// cancels or skips attempts, such as StartAttempt, CancelAttempt, Probe, Drain and Remove.
 type Events interface {
 	AttemptEnded(id AttemptID, o Outcome)
 	ProbeEnded(server string, o Outcome)
@@ -53,7 +53,7 @@
 	// lossWindowMs is the time after a query, in milliseconds, within which a broken connection is attributed to the query.
 	lossWindowMs = 50
 	// writeTimeoutMs is how long writing a query may take, in milliseconds. The time limit in the query may be out of date
-	// by at most 150 ms when it arrives.
+	// by at most 150 ms when the server receives it.
 	writeTimeoutMs = 100
 	// maxPositionLeadMs is how far a server's position may be ahead of this machine's clock, in milliseconds. Commit times
 	// are rounded up, and clocks differ.
--- a/internal/backend/send_test.go
+++ b/internal/backend/send_test.go
@@ -59,14 +59,14 @@
 	tp.waitUntil(func() bool { return tp.pool.busyConn() != nil && tp.pool.busyConn().loopConn.UnsentBytes() > 0 })
 	tp.runOnLoop(func() { tp.clk.Ms += writeTimeoutMs - 1 })
 	if tp.runOnLoop(func() {}); len(events) > 0 {
-		t.Fatalf("ended early: %v", (<-events).Result)
+		t.Fatalf("the attempt ended before the write time-out: %v", (<-events).Result)
 	}
 	tp.runOnLoop(func() { tp.clk.Ms += 1 })
 	if o := tp.nextOutcome(); o.Result != beechgrade.Skipped {
-		t.Errorf("result %v", o.Result)
+		t.Errorf("result %v, want skipped", o.Result)
 	}
-	whole := len(largeQuery{}.AppendQuery(nil, 0)) + len(pgwire.AppendStartup(nil, "", ""))
-	if n, _ := io.Copy(io.Discard, serverConn); int(n) >= whole {
-		t.Errorf("%d bytes of %d arrived", n, whole)
+	totalSize := len(largeQuery{}.AppendQuery(nil, 0)) + len(pgwire.AppendStartup(nil, "", ""))
+	if n, _ := io.Copy(io.Discard, serverConn); int(n) >= totalSize {
+		t.Errorf("%d bytes of %d arrived, want fewer", n, totalSize)
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -71,8 +71,8 @@
 // IsTransient reports whether reading the configuration may succeed soon, because a system call failed or the file is
 // incomplete.
 func IsTransient(err error) bool {
-	var no syscall.Errno
-	return errors.As(err, &no) || errors.Is(err, errIncomplete)
+	var errno syscall.Errno
+	return errors.As(err, &errno) || errors.Is(err, errIncomplete)
 }
 
 // Load reads the file that EDGE_CONFIG names. EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY override its values.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -22,7 +22,8 @@
 		t.Fatal(err)
 	}
 	got := []any{c.Listen, c.Seed, c.Limits.Sockets, c.LastKnownList.Generation, c.Classes, c.MachineTypes,
-		c.ConnectTimeoutMs, c.IdleTimeoutMs, c.Settings.Classes[0].StalenessBound, c.Settings.Classes[0].LatencyTarget, c.Settings.MayProbe, c.ReportFields}
+		c.ConnectTimeoutMs, c.IdleTimeoutMs, c.Settings.Classes[0].StalenessBound, c.Settings.Classes[0].LatencyTarget,
+		c.Settings.MayProbe, c.ReportFields}
 	want := []any{"127.0.0.2:1", uint64(0x8c1f30d27a5be964), 1024, int64(41), []string{"a", "b"}, []string{"k1", "k2"}, 120.0,
 		30000.0, 200 * time.Millisecond, 200 * time.Millisecond, true, []string{"busy_reqs", "x0"}}
 	if diff := cmp.Diff(want, got); diff != "" {
@@ -43,13 +44,13 @@
 	} {
 		_, err := parse([]byte(strings.Replace(validConfig, change[0], change[1], 1)), func(string) string { return "" }, false)
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: got %v", want, err)
+			t.Errorf("want a one-line error that names %s, got %v", want, err)
 		}
 	}
 }
 
-// TestReload guards against a reload that keeps the discovery address from the environment, or that changes values while the
-// program serves which need a restart.
+// TestReload guards against a reload that keeps the discovery address from the environment although the file has another one,
+// and against one that changes values which can only change at a restart.
 func TestReload(t *testing.T) {
 	env := func(name string) string {
 		return map[string]string{"EDGE_DISCOVERY": "127.0.0.3:1", "EDGE_LISTEN": "127.0.0.2:1"}[name]
@@ -84,6 +85,6 @@
 		}
 	}
 	if c.Name != "n3" || c.Settings.Classes[0].LatencyTarget != 200*time.Millisecond {
-		t.Errorf("changed while serving: %v", c)
+		t.Errorf("name or settings changed while serving: %v", c)
 	}
 }
--- a/internal/deadline/deadline_test.go
+++ b/internal/deadline/deadline_test.go
@@ -25,7 +25,7 @@
 		t.Error(diff)
 	}
 	if at, ok := h.Next(); at != 1 || !ok {
-		t.Errorf("next at %v", at)
+		t.Errorf("next deadline at %v, want 1", at)
 	}
 	h.Run(3)
 	if diff := cmp.Diff([]string{"1a", "1b", "later", "3"}, got); diff != "" {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -15,8 +15,8 @@
 	"beechgrade/internal/metrics"
 )
 
-// silenceTimeoutMs is how long a call may receive nothing, in milliseconds. A watch sends a keep-alive every 2 s. A machine
-// that has failed, or a connection that was dropped on the path, does not close the connection.
+// silenceTimeoutMs is how long a call may receive nothing, in milliseconds. Discovery sends a keep-alive on a watch every
+// 2 s. If its machine has failed, or the connection was dropped on the path, nothing reports the end of the connection.
 const silenceTimeoutMs = 2500
 
 // maxInstances is the maximum length of a list. A longer one is taken for a fault.
@@ -60,10 +60,10 @@
 	log           *slog.Logger
 	addr          string
 	events        Events
-	generation    int64
+	generation    int64 // of the last list that was reported
 	watch         *call
 	fetch         *call // the request for the full list
-	needFullList  bool  // the known list is from another address or count of generations: changes to it cannot be used
+	needFullList  bool  // no full list was received since the address changed or the count of generations restarted
 	watchReopened bool  // the open watch was started by SetAddress; the next call of Watch keeps it
 }
 
@@ -89,8 +89,8 @@
 	c.watchReopened = true
 }
 
-// Watch starts a watch for changes since the known generation. It replaces an open watch, unless SetAddress has started that
-// one.
+// Watch starts a watch for changes since the known generation, and ends an open watch. If SetAddress has just started a
+// watch, Watch keeps that one instead.
 func (c *Client) Watch() {
 	if c.watchReopened && c.watch != nil {
 		c.watchReopened = false
@@ -155,11 +155,11 @@
 	if k.conn != nil {
 		k.conn.Close(closeCallEnded)
 	}
-	expected := !k.watch || c.watch == k
+	current := !k.watch || c.watch == k
 	if c.watch == k {
 		c.watch = nil
 	}
-	if err != nil && expected {
+	if err != nil && current {
 		c.watchReopened = false // a new watch has to report what this call did not
 		c.log.Info("discovery", "call", k.path, "err", err)
 		c.loop.Metrics().Add(metrics.DiscoveryCalls, "failed")
@@ -201,7 +201,7 @@
 func (k *call) handleEnd() {
 	switch {
 	case k.watch:
-		k.end(errors.New("the server ended the watch"))
+		k.end(errors.New("discovery ended the watch"))
 	case k.list == nil:
 		k.end(errors.New("no list in the response"))
 	default:
@@ -228,7 +228,9 @@
 	return nil
 }
 
-// handleList reports a list, unless a newer one has been reported since the call began.
+// handleList reports a list, unless it is older than the last one that was reported. A watch may report an older one in two
+// cases: if it is a full list, or if it is the first list of the watch, which is taken to mean that discovery has
+// restarted its count of generations.
 func (k *call) handleList(l *List) {
 	c, first := k.client, !k.listReported
 	k.listReported = true
@@ -239,12 +241,12 @@
 		k.end(fmt.Errorf("generation %d is older than %d, which the watch has reported", l.Generation, c.generation))
 		return
 	case first:
-		c.needFullList = true // the server restarted its count of generations, so the base of its changes is unknown
+		c.needFullList = true // the base of these changes is unknown
 	default:
 		return // a full list with a newer generation was fetched in the meantime
 	}
 	c.generation = l.Generation
-	if c.needFullList && k.watch && !l.Complete { // these changes do not apply to the known list
+	if c.needFullList && k.watch && !l.Complete { // the known list is not the base of these changes
 		c.Fetch()
 	}
 	c.needFullList = c.needFullList && !l.Complete
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -81,9 +81,9 @@
 	}
 	tc.t.Cleanup(func() { _ = c.Close() })
 	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
-	q, err := http.ReadRequest(bufio.NewReader(c))
-	if err != nil || q.URL.String() != path {
-		tc.t.Fatalf("got request %v, error %v; want path %s", q, err, path)
+	request, err := http.ReadRequest(bufio.NewReader(c))
+	if err != nil || request.URL.String() != path {
+		tc.t.Fatalf("got request %v, error %v; want path %s", request, err, path)
 	}
 	return c.(*net.TCPConn)
 }
@@ -163,7 +163,7 @@
 			tc.expect(c.want)
 			tc.runOnLoop(func() {})
 			if len(tc.events) > 0 {
-				t.Errorf("unexpected second event: generation %d", <-tc.events)
+				t.Errorf("got a second event with generation %d, want none", <-tc.events)
 			}
 		})
 	}
--- a/internal/discovery/http.go
+++ b/internal/discovery/http.go
@@ -185,11 +185,11 @@
 			if v.depth--; v.depth > 0 {
 				break
 			}
-			whole := append(v.buf, b[start:i+1]...)
-			if v.buf = whole[:0]; cap(whole) > maxKeptBuffer {
+			value := append(v.buf, b[start:i+1]...)
+			if v.buf = value[:0]; cap(value) > maxKeptBuffer {
 				v.buf = nil
 			}
-			if err := f(whole); err != nil {
+			if err := f(value); err != nil {
 				return err
 			}
 		}
--- a/internal/discovery/http_test.go
+++ b/internal/discovery/http_test.go
@@ -51,7 +51,7 @@
 					t.Fatalf("in parts of %d bytes: error %v, want %v", size, err, c.err)
 				}
 				if diff := cmp.Diff(c.want, got); diff != "" || r.ended != c.ended {
-					t.Fatalf("in parts of %d bytes: ended %v: %s", size, r.ended, diff)
+					t.Fatalf("in parts of %d bytes: ended is %v; values (-want +got): %s", size, r.ended, diff)
 				}
 			}
 		})
@@ -66,6 +66,6 @@
 		err = r.feed(part, nil)
 	}
 	if !errors.Is(err, errTooLong) {
-		t.Errorf("error %v with %d bytes kept", err, len(r.values.buf))
+		t.Errorf("error %v with %d bytes buffered, want errTooLong", err, len(r.values.buf))
 	}
 }
--- a/internal/loop/errno.go
+++ b/internal/loop/errno.go
@@ -14,8 +14,8 @@
 //
 //	call                  error                                   effect                               test
 //	accept4               EAGAIN                                  wait for the poller                  -
-//	accept4               EINTR, ECONNABORTED, EPROTO, network    accept the next one; pause if it     TestAcceptFails
-//	                                                              fails three times in a row
+//	accept4               EINTR, ECONNABORTED, EPROTO, network    accept the next one; pause after     TestAcceptFails
+//	                                                              the third failure
 //	accept4               EMFILE, ENFILE                          close idle connections, or pause     TestAcceptFails
 //	accept4               ENOBUFS, ENOMEM, EPERM, any other       pause                                TestAcceptFails
 //	read, write           EAGAIN                                  wait for the poller                  -
@@ -33,7 +33,7 @@
 //	connect               EINTR                                   retry once                           TestDialFails
 //	connect               any other                               report a DialError                   TestDialFails
 //	getsockopt(SO_ERROR)  any                                     try three times, then report a       TestDialFails
-//	                                                              local DialError
+//	                                                              DialError, local as for connect
 //	setsockopt            any                                     continue without the option          TestDialFails
 //	recvfrom (peek)       EINTR, ENOBUFS, ENOMEM                  try three times, then NoPendingInput TestNoPendingInputInterrupted
 //	                                                              returns false
@@ -145,7 +145,7 @@
 	key := call + "." + name
 	l.metrics.Add(metrics.SyscallErrors, key)
 	now := l.Now()
-	if last, said := l.lastLoggedMs[key]; said && now-last < failureLogIntervalMs {
+	if last, logged := l.lastLoggedMs[key]; logged && now-last < failureLogIntervalMs {
 		return
 	}
 	l.lastLoggedMs[key] = now
--- a/internal/loop/faults_test.go
+++ b/internal/loop/faults_test.go
@@ -21,7 +21,7 @@
 // testTimeout limits every wait of a test. No test depends on how fast something happens.
 const testTimeout = 20 * time.Second
 
-// errorInjector makes a system call fail as often as remaining says; if it is negative, until it is set to 0.
+// errorInjector makes the next calls fail, as many as remaining says. If remaining is negative, calls fail until it is set to 0.
 type errorInjector struct {
 	remaining atomic.Int64
 	err       error
@@ -65,52 +65,52 @@
 // runLoop starts a loop, whose system calls configure may replace, and stops it at the end of the test.
 func runLoop(t *testing.T, configure func(*kernel)) *testLoop {
 	t.Helper()
-	r := &testLoop{t: t, closeErrs: make(chan error, 99), runErr: make(chan error, 1)}
-	r.Loop = New(clock.System(), slog.New(slog.DiscardHandler), func() Handler { return &echoHandler{closed: r.closeErrs} },
+	tl := &testLoop{t: t, closeErrs: make(chan error, 99), runErr: make(chan error, 1)}
+	tl.Loop = New(clock.System(), slog.New(slog.DiscardHandler), func() Handler { return &echoHandler{closed: tl.closeErrs} },
 		func() {})
-	configure(r.kernel)
+	configure(tl.kernel)
 	ready := make(chan struct{})
-	r.OnReady = func() { close(ready) }
-	go func() { r.runErr <- r.Run("127.0.0.1:0") }()
+	tl.OnReady = func() { close(ready) }
+	go func() { tl.runErr <- tl.Run("127.0.0.1:0") }()
 	select {
 	case <-ready:
-	case err := <-r.runErr:
+	case err := <-tl.runErr:
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		r.Shutdown()
-		if err := <-r.runErr; err != nil {
+		tl.Shutdown()
+		if err := <-tl.runErr; err != nil {
 			t.Error(err)
 		}
 	})
-	return r
+	return tl
 }
 
-func (r *testLoop) dialClient() net.Conn {
-	r.t.Helper()
-	c, err := net.Dial("tcp", r.Addr())
+func (tl *testLoop) dialClient() net.Conn {
+	tl.t.Helper()
+	c, err := net.Dial("tcp", tl.Addr())
 	if err != nil {
-		r.t.Fatal(err)
+		tl.t.Fatal(err)
 	}
 	_ = c.SetDeadline(time.Now().Add(testTimeout))
-	r.t.Cleanup(func() { _ = c.Close() })
+	tl.t.Cleanup(func() { _ = c.Close() })
 	return c
 }
 
 // expectEcho sends text and fails the test unless the same text comes back.
-func (r *testLoop) expectEcho(c net.Conn, text string) {
-	r.t.Helper()
+func (tl *testLoop) expectEcho(c net.Conn, text string) {
+	tl.t.Helper()
 	go func() { _, _ = io.WriteString(c, text) }()
 	got := make([]byte, len(text))
 	if _, err := io.ReadFull(c, got); err != nil || string(got) != text {
-		r.t.Fatalf("got %.40q, want %.40q: %v", got, text, err)
+		tl.t.Fatalf("got %.40q, want %.40q (error %v)", got, text, err)
 	}
 }
 
 // runOnLoop runs f on the loop and waits until it has returned.
-func (r *testLoop) runOnLoop(f func()) {
+func (tl *testLoop) runOnLoop(f func()) {
 	done := make(chan struct{})
-	r.Post(func() { f(); close(done) })
+	tl.Post(func() { f(); close(done) })
 	<-done
 }
 
@@ -120,28 +120,29 @@
 		unix.ECONNABORTED, unix.ENETDOWN, unix.EHOSTUNREACH, unix.ENOSYS} {
 		for _, times := range []int64{1, 5} {
 			t.Run(fmt.Sprint(unix.ErrnoName(errno), times), func(t *testing.T) {
-				f := injectError(0, errno)
-				r := runLoop(t, func(k *kernel) {
+				injector := injectError(0, errno)
+				tl := runLoop(t, func(k *kernel) {
 					k.accept4 = func(fd, flags int) (int, syscall.Sockaddr, error) {
-						if err := f.nextError(); err != nil {
+						if err := injector.nextError(); err != nil {
 							return -1, nil, err
 						}
 						return syscall.Accept4(fd, flags)
 					}
 				})
 				exhaustedCalls := 0
-				r.runOnLoop(func() { r.OnDescriptorsExhausted = func() bool { exhaustedCalls++; return false } })
-				established := r.dialClient()
-				r.expectEcho(established, "before")
-				f.remaining.Store(times)
-				r.expectEcho(r.dialClient(), "late")
-				r.expectEcho(established, "after")
-				if got := r.Metrics().Value(metrics.SyscallErrors, "accept4."+unix.ErrnoName(errno)); got != times {
+				tl.runOnLoop(func() { tl.OnDescriptorsExhausted = func() bool { exhaustedCalls++; return false } })
+				established := tl.dialClient()
+				tl.expectEcho(established, "before")
+				injector.remaining.Store(times)
+				tl.expectEcho(tl.dialClient(), "late")
+				tl.expectEcho(established, "after")
+				if got := tl.Metrics().Value(metrics.SyscallErrors, "accept4."+unix.ErrnoName(errno)); got != times {
 					t.Errorf("counted %d failures of accept4, want %d", got, times)
 				}
-				r.runOnLoop(func() {
-					if want := errno == unix.EMFILE || errno == unix.ENFILE; (exhaustedCalls > 0) != want || r.AcceptPaused() {
-						t.Errorf("OnDescriptorsExhausted called %d times, AcceptPaused %v", exhaustedCalls, r.AcceptPaused())
+				tl.runOnLoop(func() {
+					if want := errno == unix.EMFILE || errno == unix.ENFILE; (exhaustedCalls > 0) != want || tl.AcceptPaused() {
+						t.Errorf("OnDescriptorsExhausted called %d times, want calls only without descriptors; AcceptPaused %v, want false",
+							exhaustedCalls, tl.AcceptPaused())
 					}
 				})
 			})
@@ -151,25 +152,25 @@
 
 // TestAcceptAfterDescriptorsFreed tests that the loop accepts without a pause if OnDescriptorsExhausted has closed a connection.
 func TestAcceptAfterDescriptorsFreed(t *testing.T) {
-	f := injectError(1, unix.EMFILE)
-	r := runLoop(t, func(k *kernel) {
+	injector := injectError(1, unix.EMFILE)
+	tl := runLoop(t, func(k *kernel) {
 		k.accept4 = func(fd, flags int) (int, syscall.Sockaddr, error) {
-			if err := f.nextError(); err != nil {
+			if err := injector.nextError(); err != nil {
 				return -1, nil, err
 			}
 			return syscall.Accept4(fd, flags)
 		}
 	})
 	exhaustedCalls := make(chan bool, 9)
-	r.runOnLoop(func() {
-		r.OnDescriptorsExhausted = func() bool {
+	tl.runOnLoop(func() {
+		tl.OnDescriptorsExhausted = func() bool {
 			exhaustedCalls <- true
 			return true
 		}
 	})
-	r.expectEcho(r.dialClient(), "served")
-	r.runOnLoop(func() {
-		if len(exhaustedCalls) != 1 || r.listener.backoff.firstFailureMs != 0 {
+	tl.expectEcho(tl.dialClient(), "served")
+	tl.runOnLoop(func() {
+		if len(exhaustedCalls) != 1 || tl.listener.backoff.firstFailureMs != 0 {
 			t.Errorf("OnDescriptorsExhausted called %d times, want 1, or accepting is still in its back-off", len(exhaustedCalls))
 		}
 	})
@@ -182,18 +183,18 @@
 		for _, times := range []int64{1, 5} {
 			t.Run(fmt.Sprint(unix.ErrnoName(errno), times), func(t *testing.T) {
 				reads, writes := injectError(0, errno), injectError(0, errno)
-				r := runLoop(t, func(k *kernel) { k.read, k.write = failingRead(reads), failingWrite(writes) })
-				c := r.dialClient()
-				r.expectEcho(c, "before")
+				tl := runLoop(t, func(k *kernel) { k.read, k.write = failingRead(reads), failingWrite(writes) })
+				c := tl.dialClient()
+				tl.expectEcho(c, "before")
 				reads.remaining.Store(times)
-				r.expectEcho(c, "while reads fail")
+				tl.expectEcho(c, "while reads fail")
 				writes.remaining.Store(times)
-				r.expectEcho(c, "while writes fail")
+				tl.expectEcho(c, "while writes fail")
 				reads.remaining.Store(times)
 				writes.remaining.Store(times)
-				r.expectEcho(c, string(bytes.Repeat([]byte("both "), 1<<16)))
-				if len(r.closeErrs) > 0 {
-					t.Errorf("connection closed with %v", <-r.closeErrs)
+				tl.expectEcho(c, string(bytes.Repeat([]byte("both "), 1<<16)))
+				if len(tl.closeErrs) > 0 {
+					t.Errorf("connection closed with %v, want it open", <-tl.closeErrs)
 				}
 			})
 		}
@@ -201,23 +202,23 @@
 	for _, errno := range []unix.Errno{unix.ECONNRESET, unix.EPIPE} {
 		t.Run("ends by "+unix.ErrnoName(errno), func(t *testing.T) {
 			reads := injectError(0, errno)
-			r := runLoop(t, func(k *kernel) { k.read = failingRead(reads) })
-			c := r.dialClient()
-			r.expectEcho(c, "before")
+			tl := runLoop(t, func(k *kernel) { k.read = failingRead(reads) })
+			c := tl.dialClient()
+			tl.expectEcho(c, "before")
 			reads.remaining.Store(1)
 			_, _ = io.WriteString(c, "x")
-			if err := <-r.closeErrs; !errors.Is(err, errno) {
-				t.Errorf("closed with %v", err)
+			if err := <-tl.closeErrs; !errors.Is(err, errno) {
+				t.Errorf("closed with %v, want the injected error", err)
 			}
 		})
 	}
 }
 
-// failingRead returns a read that fails on sockets as f says. Reads of the eventfd, whose buffer has 8 bytes, do not fail.
-func failingRead(f *errorInjector) func(int, []byte) (int, error) {
+// failingRead returns a read that fails on sockets as injector says. Reads of the eventfd, whose buffer has 8 bytes, do not fail.
+func failingRead(injector *errorInjector) func(int, []byte) (int, error) {
 	return func(fd int, b []byte) (int, error) {
 		if len(b) > 8 {
-			if err := f.nextError(); err != nil {
+			if err := injector.nextError(); err != nil {
 				return -1, err
 			}
 		}
@@ -225,11 +226,11 @@
 	}
 }
 
-// failingWrite returns a write that fails on sockets as f says. Writes to the eventfd do not fail.
-func failingWrite(f *errorInjector) func(int, []byte) (int, error) {
+// failingWrite returns a write that fails on sockets as injector says. Writes to the eventfd do not fail.
+func failingWrite(injector *errorInjector) func(int, []byte) (int, error) {
 	return func(fd int, b []byte) (int, error) {
 		if !bytes.Equal(b, []byte{1, 0, 0, 0, 0, 0, 0, 0}) {
-			if err := f.nextError(); err != nil {
+			if err := injector.nextError(); err != nil {
 				return -1, err
 			}
 		}
@@ -241,64 +242,64 @@
 // Otherwise a reset would be taken for an orderly close.
 func TestReadErrorBeforeEndOfStream(t *testing.T) {
 	reads := injectError(0, unix.ETIMEDOUT)
-	r := runLoop(t, func(k *kernel) { k.read = failingRead(reads) })
-	c := r.dialClient()
-	r.expectEcho(c, "before")
+	tl := runLoop(t, func(k *kernel) { k.read = failingRead(reads) })
+	c := tl.dialClient()
+	tl.expectEcho(c, "before")
 	reads.remaining.Store(1)
 	_ = c.Close()
-	if err := <-r.closeErrs; !errors.Is(err, unix.ETIMEDOUT) {
-		t.Errorf("closed with %v", err)
+	if err := <-tl.closeErrs; !errors.Is(err, unix.ETIMEDOUT) {
+		t.Errorf("closed with %v, want ETIMEDOUT", err)
 	}
 }
 
 // TestShortReadsAndWrites tests that nothing is lost or duplicated if each call transfers at most 8 bytes.
 func TestShortReadsAndWrites(t *testing.T) {
-	r := runLoop(t, func(k *kernel) {
+	tl := runLoop(t, func(k *kernel) {
 		k.read = func(fd int, b []byte) (int, error) { return unix.Read(fd, b[:min(len(b), 8)]) }
 		k.write = func(fd int, b []byte) (int, error) { return unix.Write(fd, b[:min(len(b), 8)]) }
 	})
-	r.expectEcho(r.dialClient(), string(bytes.Repeat([]byte("0123456789"), 1<<12)))
+	tl.expectEcho(tl.dialClient(), string(bytes.Repeat([]byte("0123456789"), 1<<12)))
 }
 
 // TestPollerRejectsDescriptors tests that connections are served even if epoll_ctl fails for them.
 func TestPollerRejectsDescriptors(t *testing.T) {
-	f := injectError(0, unix.ENOSPC)
-	r := runLoop(t, func(k *kernel) {
+	injector := injectError(0, unix.ENOSPC)
+	tl := runLoop(t, func(k *kernel) {
 		k.epollCtl = func(epfd, op, fd int, e *unix.EpollEvent) error {
-			if err := f.nextError(); err != nil {
+			if err := injector.nextError(); err != nil {
 				return err
 			}
 			return unix.EpollCtl(epfd, op, fd, e)
 		}
 	})
-	f.remaining.Store(-1)
-	c := r.dialClient()
-	r.expectEcho(c, "never watched")
-	r.expectEcho(c, string(bytes.Repeat([]byte("more than a socket takes "), 1<<17)))
-	f.remaining.Store(0)
-	r.expectEcho(c, "watched")
+	injector.remaining.Store(-1)
+	c := tl.dialClient()
+	tl.expectEcho(c, "never watched")
+	tl.expectEcho(c, string(bytes.Repeat([]byte("more than a socket takes "), 1<<17)))
+	injector.remaining.Store(0)
+	tl.expectEcho(c, "watched")
 }
 
 // TestPollerFails tests that connections are accepted and served without the poller while epoll_wait fails.
 func TestPollerFails(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.EINTR, unix.EINVAL, unix.EBADF} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
-			f := injectError(0, errno)
-			r := runLoop(t, func(k *kernel) {
+			injector := injectError(0, errno)
+			tl := runLoop(t, func(k *kernel) {
 				k.epollWait = func(epfd int, events []unix.EpollEvent, ms int) (int, error) {
-					if err := f.nextError(); err != nil {
+					if err := injector.nextError(); err != nil {
 						return -1, err
 					}
 					return unix.EpollWait(epfd, events, ms)
 				}
 			})
-			c := r.dialClient()
-			r.expectEcho(c, "before")
-			f.remaining.Store(-1)
-			r.expectEcho(c, "meanwhile")
-			r.expectEcho(r.dialClient(), "late")
-			f.remaining.Store(0)
-			r.expectEcho(c, "after")
+			c := tl.dialClient()
+			tl.expectEcho(c, "before")
+			injector.remaining.Store(-1)
+			tl.expectEcho(c, "meanwhile")
+			tl.expectEcho(tl.dialClient(), "late")
+			injector.remaining.Store(0)
+			tl.expectEcho(c, "after")
 		})
 	}
 }
@@ -306,7 +307,7 @@
 // TestDialWhilePollerFails tests that a connection that is still being established is not taken for an open one.
 func TestDialWhilePollerFails(t *testing.T) {
 	polls, peers := injectError(0, unix.EINVAL), injectError(3, unix.ENOTCONN)
-	r := runLoop(t, func(k *kernel) {
+	tl := runLoop(t, func(k *kernel) {
 		k.epollWait = func(epfd int, events []unix.EpollEvent, ms int) (int, error) {
 			if err := polls.nextError(); err != nil {
 				return -1, err
@@ -325,11 +326,11 @@
 		t.Fatal(err)
 	}
 	defer peer.Close()
-	d := &dialHandler{make(chan *Conn, 1), make(chan string, 1)}
+	handler := &dialHandler{make(chan *Conn, 1), make(chan string, 1)}
 	polls.remaining.Store(-1)
-	r.runOnLoop(func() { r.Dial(peer.Addr().String(), 5000, d, func(err error) { t.Error(err) }) })
+	tl.runOnLoop(func() { tl.Dial(peer.Addr().String(), 5000, handler, func(err error) { t.Error(err) }) })
 	select {
-	case <-d.opened:
+	case <-handler.opened:
 	case <-time.After(testTimeout):
 		t.Fatal("the connection was not reported as open")
 	}
@@ -341,22 +342,22 @@
 
 // TestWakeFails tests that a posted function runs even if the write that wakes the loop for it fails.
 func TestWakeFails(t *testing.T) {
-	f := injectError(0, unix.EIO)
-	r := runLoop(t, func(k *kernel) {
+	injector := injectError(0, unix.EIO)
+	tl := runLoop(t, func(k *kernel) {
 		k.write = func(fd int, b []byte) (int, error) {
 			if bytes.Equal(b, []byte{1, 0, 0, 0, 0, 0, 0, 0}) {
-				if err := f.nextError(); err != nil {
+				if err := injector.nextError(); err != nil {
 					return -1, err
 				}
 			}
 			return unix.Write(fd, b)
 		}
 	})
-	r.runOnLoop(func() {})
+	tl.runOnLoop(func() {})
 	time.Sleep(10 * time.Millisecond) // lets the loop enter epoll_wait
-	f.remaining.Store(3)
-	r.runOnLoop(func() {})
-	r.runOnLoop(func() {})
+	injector.remaining.Store(3)
+	tl.runOnLoop(func() {})
+	tl.runOnLoop(func() {})
 }
 
 // dialHandler is a Handler that sends its connection and the data received to channels.
@@ -387,26 +388,26 @@
 		{"epoll_ctl", unix.ENOMEM, 9, "up"},
 	} {
 		t.Run(fmt.Sprint(c.call, unix.ErrnoName(c.err), c.times), func(t *testing.T) {
-			f := injectError(0, c.err)
-			r := runLoop(t, func(k *kernel) { k.failCall(c.call, f) })
+			injector := injectError(0, c.err)
+			tl := runLoop(t, func(k *kernel) { k.failCall(c.call, injector) })
 			peer, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer peer.Close()
-			d, failed := &dialHandler{make(chan *Conn, 1), make(chan string, 1)}, make(chan error, 1)
-			f.remaining.Store(c.times)
-			r.runOnLoop(func() { r.Dial(peer.Addr().String(), 5000, d, func(err error) { failed <- err }) })
+			handler, failed := &dialHandler{make(chan *Conn, 1), make(chan string, 1)}, make(chan error, 1)
+			injector.remaining.Store(c.times)
+			tl.runOnLoop(func() { tl.Dial(peer.Addr().String(), 5000, handler, func(err error) { failed <- err }) })
 			got := ""
 			select {
-			case <-d.opened:
+			case <-handler.opened:
 				got = "up"
 			case err := <-failed:
 				if got = "remote"; IsLocal(err) {
 					got = "local"
 				}
 				if !errors.Is(err, c.err) {
-					t.Errorf("failed with %v", err)
+					t.Errorf("failed with %v, want the injected error", err)
 				}
 			case <-time.After(testTimeout):
 				t.Fatal("no outcome was reported")
@@ -418,48 +419,48 @@
 	}
 }
 
-// failCall makes one system call fail as f says.
-func (k *kernel) failCall(call string, f *errorInjector) {
+// failCall makes one system call fail as injector says.
+func (k *kernel) failCall(call string, injector *errorInjector) {
 	original := *k
 	switch call {
 	case "socket":
 		k.socket = func(domain, kind, protocol int) (int, error) {
-			if err := f.nextError(); err != nil {
+			if err := injector.nextError(); err != nil {
 				return -1, err
 			}
 			return original.socket(domain, kind, protocol)
 		}
 	case "connect":
 		k.connect = func(fd int, addr unix.Sockaddr) error {
-			if err := f.nextError(); err != nil {
+			if err := injector.nextError(); err != nil {
 				return err
 			}
 			return original.connect(fd, addr)
 		}
 	case "setsockopt":
 		k.setsockopt = func(fd, level, option, value int) error {
-			if err := f.nextError(); err != nil {
+			if err := injector.nextError(); err != nil {
 				return err
 			}
 			return original.setsockopt(fd, level, option, value)
 		}
 	case "getsockopt":
 		k.getsockopt = func(fd, level, option int) (int, error) {
-			if err := f.nextError(); err != nil {
+			if err := injector.nextError(); err != nil {
 				return 0, err
 			}
 			return original.getsockopt(fd, level, option)
 		}
 	case "getsockname":
 		k.getsockname = func(fd int) (syscall.Sockaddr, error) {
-			if err := f.nextError(); err != nil {
+			if err := injector.nextError(); err != nil {
 				return nil, err
 			}
 			return original.getsockname(fd)
 		}
 	case "epoll_ctl":
 		k.epollCtl = func(epfd, op, fd int, e *unix.EpollEvent) error {
-			if err := f.nextError(); err != nil {
+			if err := injector.nextError(); err != nil {
 				return err
 			}
 			return original.epollCtl(epfd, op, fd, e)
@@ -470,30 +471,30 @@
 // TestDialRefused tests that dialling an address on which nobody listens is reported as refused, and that dialling an invalid
 // address fails; neither error is local.
 func TestDialRefused(t *testing.T) {
-	r := runLoop(t, func(*kernel) {})
+	tl := runLoop(t, func(*kernel) {})
 	peer, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = peer.Close()
 	failed := make(chan error, 1)
-	r.runOnLoop(func() { r.Dial(peer.Addr().String(), 5000, &dialHandler{}, func(err error) { failed <- err }) })
+	tl.runOnLoop(func() { tl.Dial(peer.Addr().String(), 5000, &dialHandler{}, func(err error) { failed <- err }) })
 	if err := <-failed; !errors.Is(err, unix.ECONNREFUSED) || IsLocal(err) {
-		t.Errorf("failed with %v", err)
+		t.Errorf("failed with %v, want a remote ECONNREFUSED", err)
 	}
-	r.runOnLoop(func() { r.Dial("no address", 100, &dialHandler{}, func(err error) { failed <- err }) })
+	tl.runOnLoop(func() { tl.Dial("no address", 100, &dialHandler{}, func(err error) { failed <- err }) })
 	if err := <-failed; IsLocal(err) {
-		t.Errorf("failed with %v", err)
+		t.Errorf("failed with %v, want a remote error", err)
 	}
 }
 
 // TestNoPendingInputInterrupted tests that interruptions of the system call do not change the result of NoPendingInput, unless
 // every try is interrupted.
 func TestNoPendingInputInterrupted(t *testing.T) {
-	f := injectError(0, unix.EINTR)
-	r := runLoop(t, func(k *kernel) {
+	injector := injectError(0, unix.EINTR)
+	tl := runLoop(t, func(k *kernel) {
 		k.recvfrom = func(fd int, b []byte, flags int) (int, unix.Sockaddr, error) {
-			if err := f.nextError(); err != nil {
+			if err := injector.nextError(); err != nil {
 				return -1, nil, err
 			}
 			return unix.Recvfrom(fd, b, flags)
@@ -504,14 +505,14 @@
 		t.Fatal(err)
 	}
 	defer peer.Close()
-	d := &dialHandler{make(chan *Conn, 1), make(chan string, 1)}
-	r.runOnLoop(func() { r.Dial(peer.Addr().String(), 5000, d, func(err error) { t.Error(err) }) })
-	c := <-d.opened
+	handler := &dialHandler{make(chan *Conn, 1), make(chan string, 1)}
+	tl.runOnLoop(func() { tl.Dial(peer.Addr().String(), 5000, handler, func(err error) { t.Error(err) }) })
+	c := <-handler.opened
 	for times, want := range map[int64]bool{0: true, immediateTries - 1: true, immediateTries: false} {
-		r.runOnLoop(func() {
-			f.remaining.Store(times)
+		tl.runOnLoop(func() {
+			injector.remaining.Store(times)
 			if got := c.NoPendingInput(); got != want {
-				t.Errorf("after %d failures NoPendingInput is %v", times, got)
+				t.Errorf("after %d failures NoPendingInput is %v, want the opposite", times, got)
 			}
 		})
 	}
@@ -520,12 +521,12 @@
 // TestListenFails tests that transient failures at startup are retried, and that an invalid address is not.
 func TestListenFails(t *testing.T) {
 	for _, call := range []string{"socket", "setsockopt", "epoll_ctl"} {
-		f := injectError(4, unix.ENOMEM)
-		r := runLoop(t, func(k *kernel) { k.failCall(call, f) })
-		r.expectEcho(r.dialClient(), "served")
+		injector := injectError(4, unix.ENOMEM)
+		tl := runLoop(t, func(k *kernel) { k.failCall(call, injector) })
+		tl.expectEcho(tl.dialClient(), "served")
 	}
 	l := New(clock.System(), slog.New(slog.DiscardHandler), nil, func() {})
 	if err := l.Run("nowhere"); !errors.Is(err, errInvalidAddress) {
-		t.Errorf("Run with an invalid address: %v", err)
+		t.Errorf("Run with an invalid address: got %v, want errInvalidAddress", err)
 	}
 }
--- a/internal/slots/slots_test.go
+++ b/internal/slots/slots_test.go
@@ -18,7 +18,7 @@
 	}
 	table.Delete(old)
 	if v, ok := table.Get(next); !ok || v != "next" || table.Len() != 1 {
-		t.Errorf("got %q, %v, %d in use", v, ok, table.Len())
+		t.Errorf("got %q, %v with %d slots in use, want \"next\", true with 1", v, ok, table.Len())
 	}
 	if _, ok := table.Get(Ref{}); ok {
 		t.Error("the zero Ref finds a value")
