--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -109,15 +109,15 @@
 
 // send sends an attempt on a free connection, unless the attempt may no longer be sent. It reports whether it was sent.
 func (p *Pool) send(c *conn, a *attempt) bool {
-	timeLimitMs, ok := 0, true
+	timeoutMs, ok := 0, true
 	if a.query != nil {
-		timeLimitMs, ok = p.events.BeforeSend(a.attemptID, a.timeoutAt)
+		timeoutMs, ok = p.events.BeforeSend(a.attemptID, a.timeoutAt)
 	}
 	if !ok {
 		p.abort(a, beechgrade.Skipped)
 		return false
 	}
-	c.writeQuery(a, timeLimitMs)
+	c.writeQuery(a, timeoutMs)
 	return true
 }
 
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -135,8 +135,8 @@
 	c.timer = p.loop.At(p.loop.Now()+p.opt.IdleTimeoutMs, func() { c.loopConn.Close(closeIdle) })
 }
 
-// writeQuery writes the query of an attempt, with a time limit for the server in milliseconds.
-func (c *conn) writeQuery(a *attempt, timeLimitMs int) {
+// writeQuery writes the query of an attempt, which gives the server the time limit timeoutMs, in milliseconds.
+func (c *conn) writeQuery(a *attempt, timeoutMs int) {
 	p := c.pool
 	c.removeFromIdle()
 	p.loop.StopTimer(c.timer)
@@ -146,7 +146,7 @@
 	if a.query == nil {
 		p.scratch = pgwire.AppendQuery(p.scratch[:0], "SHOW load")
 	} else {
-		p.scratch = a.query.AppendQuery(p.scratch[:0], timeLimitMs)
+		p.scratch = a.query.AppendQuery(p.scratch[:0], timeoutMs)
 	}
 	c.writtenAt = p.loop.Now()
 	a.writtenAt = c.writtenAt
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -14,8 +14,9 @@
 
 // Query is a request in the form in which it is sent to a server.
 type Query interface {
-	// AppendQuery appends the query message to dst. It tells the server the time limit, in milliseconds.
-	AppendQuery(dst []byte, timeLimitMs int) []byte
+	// AppendQuery appends the query message to dst. The message gives the server the time limit timeoutMs, which is the time
+	// that the pooler waits for the answer, in milliseconds.
+	AppendQuery(dst []byte, timeoutMs int) []byte
 }
 
 // Events receives the outcomes of attempts and probes. Its methods may be called from within any method of Pool that starts,
@@ -23,9 +24,9 @@
 type Events interface {
 	AttemptEnded(id AttemptID, o Outcome)
 	ProbeEnded(server string, o Outcome)
-	// BeforeSend is called right before an attempt that times out at timeoutAt is written. It returns the time limit to send to
-	// the server, in milliseconds, and whether the attempt may be sent.
-	BeforeSend(id AttemptID, timeoutAt float64) (timeLimitMs int, ok bool)
+	// BeforeSend is called right before an attempt that times out at timeoutAt is written. It returns the time limit to send
+	// to the server, in milliseconds, and whether the attempt may be sent.
+	BeforeSend(id AttemptID, timeoutAt float64) (timeoutMs int, ok bool)
 }
 
 // Options are the settings of a Pool.
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -22,7 +22,8 @@
 	"beechgrade/internal/slots"
 )
 
-// Handler receives the events of one connection. The slice passed to Data is valid only during the call.
+// Handler receives the events of one connection. The slice passed to Data is valid only during the call. Closed receives nil
+// if this side has closed the connection, io.EOF after an orderly end of the stream, and otherwise the error.
 type Handler interface {
 	Opened(c *Conn)
 	Data(b []byte)
