--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -89,8 +89,8 @@
 	})
 	for len(s.idle) > 0 {
 		c := s.idle[len(s.idle)-1]
-		// The server may have closed the connection before the loop has read the end of the stream. A request written
-		// now would end in a reset, and an unsafe one could not be retried.
+		// The server may have closed the connection without the loop having read the end of the stream yet. A request
+		// written now would end in a reset, and one that must not run twice could not be retried.
 		if !c.loopConn.NoPendingInput() {
 			c.loopConn.Close(closeUnexpectedInput)
 			continue
@@ -109,15 +109,15 @@
 
 // send sends an attempt on a free connection, unless the attempt may no longer be sent. It reports whether it was sent.
 func (p *Pool) send(c *conn, a *attempt) bool {
-	timeLimitMs, ok := 0, true
+	timeoutMs, ok := 0, true
 	if a.query != nil {
-		timeLimitMs, ok = p.events.BeforeSend(a.attemptID, a.timeoutAt)
+		timeoutMs, ok = p.events.BeforeSend(a.attemptID, a.timeoutAt)
 	}
 	if !ok {
 		p.abort(a, beechgrade.Skipped)
 		return false
 	}
-	c.writeQuery(a, timeLimitMs)
+	c.writeQuery(a, timeoutMs)
 	return true
 }
 
@@ -132,7 +132,8 @@
 	}
 	if c != nil {
 		// Detach the attempt first, because the close would report a reset for it. Close the connection before the outcome
-		// is reported, because that call may send the request to another server at once.
+		// is reported, because that call may send the request to another server at once, and then two attempts would be
+		// in flight.
 		c.attempt, a.conn = nil, nil
 		c.loopConn.Close(closeAttemptAborted)
 		p.finish(a, Outcome{Result: r})
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -43,7 +43,7 @@
 	state         state
 	input         pgwire.Reader
 	attempt       *attempt
-	queryBuffered bool            // the whole query was passed to the socket or its buffer
+	queryBuffered bool            // the whole query was passed to loopConn, which may still hold a part
 	idleSeq       uint64          // orders idle connections by the time at which they became idle
 	idleSince     float64         // when the connection last became ready for a query
 	writtenAt     float64         // when the current query was written
@@ -135,8 +135,8 @@
 	c.timer = p.loop.At(p.loop.Now()+p.opt.IdleTimeoutMs, func() { c.loopConn.Close(closeIdle) })
 }
 
-// writeQuery writes the query of an attempt, with a time limit for the server in milliseconds.
-func (c *conn) writeQuery(a *attempt, timeLimitMs int) {
+// writeQuery writes the query of an attempt, which gives the server the time limit timeoutMs, in milliseconds.
+func (c *conn) writeQuery(a *attempt, timeoutMs int) {
 	p := c.pool
 	c.removeFromIdle()
 	p.loop.StopTimer(c.timer)
@@ -146,7 +146,7 @@
 	if a.query == nil {
 		p.scratch = pgwire.AppendQuery(p.scratch[:0], "SHOW load")
 	} else {
-		p.scratch = a.query.AppendQuery(p.scratch[:0], timeLimitMs)
+		p.scratch = a.query.AppendQuery(p.scratch[:0], timeoutMs)
 	}
 	c.writtenAt = p.loop.Now()
 	a.writtenAt = c.writtenAt
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -14,18 +14,19 @@
 
 // Query is a request in the form in which it is sent to a server.
 type Query interface {
-	// AppendQuery appends the query message to dst. It tells the server the time limit, in milliseconds.
-	AppendQuery(dst []byte, timeLimitMs int) []byte
+	// AppendQuery appends the query message to dst. The message gives the server the time limit timeoutMs, which is the time
+	// that the pooler waits for the answer, in milliseconds.
+	AppendQuery(dst []byte, timeoutMs int) []byte
 }
 
-// Events receives the outcomes of attempts and probes. Its methods may be called from within StartAttempt, CancelAttempt and
-// Probe.
+// Events receives the outcomes of attempts and probes. Its methods may be called from within any method of Pool that starts,
+// cancels or skips attempts, such as StartAttempt, CancelAttempt, Probe, Drain and Remove.
 type Events interface {
 	AttemptEnded(id AttemptID, o Outcome)
 	ProbeEnded(server string, o Outcome)
-	// BeforeSend is called right before an attempt that times out at timeoutAt is written. It returns the time limit to send to
-	// the server, in milliseconds, and whether the attempt may be sent.
-	BeforeSend(id AttemptID, timeoutAt float64) (timeLimitMs int, ok bool)
+	// BeforeSend is called right before an attempt that times out at timeoutAt is written. It returns the time limit to send
+	// to the server, in milliseconds, and whether the attempt may be sent.
+	BeforeSend(id AttemptID, timeoutAt float64) (timeoutMs int, ok bool)
 }
 
 // Options are the settings of a Pool.
@@ -53,7 +54,7 @@
 	// lossWindowMs is the time after a query, in milliseconds, within which a broken connection is attributed to the query.
 	lossWindowMs = 50
 	// writeTimeoutMs is how long writing a query may take, in milliseconds. The time limit in the query may be out of date
-	// by at most 150 ms when it arrives.
+	// by at most 150 ms when the server receives it.
 	writeTimeoutMs = 100
 	// maxPositionLeadMs is how far a server's position may be ahead of this machine's clock, in milliseconds. Commit times
 	// are rounded up, and clocks differ.
