--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -26,17 +26,23 @@
 	ErrShutDown         = errors.New("the service has ended")
 )
 
-// Servers sends attempts and probes to the db servers.
+// Servers sends attempts and probes to the db servers. Times are in milliseconds on the loop's clock.
 type Servers interface {
-	SetAddress(server, addr string)
-	Drain(server string)
-	Remove(server string)
-	RemoveExcept(servers map[string]bool)
-	StartAttempt(server string, query backend.Query, deadline, sendDeadline float64, nonIdempotent bool,
+	// SetAddress adds a server, or changes its address.
+	SetAddress(serverID, addr string)
+	// Drain, Remove and RemoveExcept end the unsent attempts of the servers that they affect. Attempts in flight continue.
+	Drain(serverID string)
+	Remove(serverID string)
+	RemoveExcept(serverIDs map[string]bool)
+	// StartAttempt starts an attempt that times out at timeoutAt and is not sent at sendDeadline or later. atMostOnce says
+	// that the request must not take effect twice.
+	StartAttempt(serverID string, query backend.Query, timeoutAt, sendDeadline float64, atMostOnce bool,
 		id backend.AttemptID) slots.Ref
 	CancelAttempt(attempt slots.Ref)
+	// CancelUnsentAttempt cancels an attempt that still waits for a connection.
 	CancelUnsentAttempt(attempt slots.Ref)
-	Probe(server string)
+	// Probe requests the load report of a server.
+	Probe(serverID string)
 }
 
 // Discovery requests the server list: Watch opens a watch on its changes, Fetch requests the whole list once.
@@ -96,7 +102,7 @@
 	}
 }
 
-// OpenRequests returns the number of requests that have no final answer yet or have attempts in flight.
+// OpenRequests returns the number of requests that have not ended, or whose attempts have not all ended.
 func (c *Core) OpenRequests() int { return c.requests.Len() }
 
 // Guard returns the guard that checks the invariants of this pooler.
@@ -125,7 +131,7 @@
 		req.Deadline = min(req.Deadline, c.latestDeadline)
 	}
 	now := clock.Duration(c.loop.Now())
-	ref := c.requests.Put(&request{id: req.ID, nonIdempotent: c.cfg.Settings.Classes[class].Effect != beechgrade.Safe,
+	ref := c.requests.Put(&request{id: req.ID, atMostOnce: c.cfg.Settings.Classes[class].Effect != beechgrade.Safe,
 		client: client, query: req.Query, deadline: req.Deadline, class: class, group: req.Group,
 		arrivedAt: clock.Milliseconds(now), retry: req.Retry})
 	event := &beechgrade.Request{ID: requestID(ref), Class: class, Group: req.Group, Deadline: clock.Duration(req.Deadline),
@@ -175,8 +181,8 @@
 }
 
 // ProbeEnded implements backend.Events.
-func (c *Core) ProbeEnded(server string, outcome backend.Outcome) {
-	c.deliver(&beechgrade.ProbeResult{Server: beechgrade.ServerID(server), Result: outcome.Result, Report: reportOf(outcome)})
+func (c *Core) ProbeEnded(serverID string, outcome backend.Outcome) {
+	c.deliver(&beechgrade.ProbeResult{Server: beechgrade.ServerID(serverID), Result: outcome.Result, Report: reportOf(outcome)})
 }
 
 // deliver delivers an event that happens now.
@@ -202,35 +208,35 @@
 }
 
 // execute executes one action of the router.
-func (c *Core) execute(a *beechgrade.Action) {
-	switch a.Kind {
+func (c *Core) execute(action *beechgrade.Action) {
+	switch action.Kind {
 	case beechgrade.Send:
-		c.startAttempt(a)
+		c.startAttempt(action)
 	case beechgrade.Cancel:
-		if req, ok := c.requests.Get(requestRef(a.ID)); ok && a.Attempt >= 0 && a.Attempt < len(req.attempts) {
-			c.servers.CancelAttempt(req.attempts[a.Attempt].ref)
+		if req, ok := c.requests.Get(requestRef(action.ID)); ok && action.Attempt >= 0 && action.Attempt < len(req.attempts) {
+			c.servers.CancelAttempt(req.attempts[action.Attempt].ref)
 		}
 	case beechgrade.Refuse:
-		if req := c.finish(a); req != nil {
+		if req := c.finish(action); req != nil {
 			c.recordEnd(req, "refused")
-			req.client.Refused(clock.Milliseconds(a.Wait))
+			req.client.Refused(clock.Milliseconds(action.Wait))
 		}
 	case beechgrade.Fail:
-		if req := c.finish(a); req != nil {
+		if req := c.finish(action); req != nil {
 			c.recordEnd(req, "failed")
 			req.client.Failed()
 		}
 	case beechgrade.Probe:
-		c.servers.Probe(string(a.Server))
+		c.servers.Probe(string(action.Server))
 	case beechgrade.SetTimer:
-		tag := a.Tag
-		c.loop.At(clock.Milliseconds(a.At), func() { c.deliver(&beechgrade.Timer{Tag: tag}) })
+		tag := action.Tag
+		c.loop.At(clock.Milliseconds(action.At), func() { c.deliver(&beechgrade.Timer{Tag: tag}) })
 	case beechgrade.Subscribe:
 		c.discovery.Watch()
 	case beechgrade.FetchList:
 		c.discovery.Fetch()
 	case beechgrade.Log:
-		c.log.Info(a.Text)
+		c.log.Info(action.Text)
 	}
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -65,7 +65,8 @@
 		Settings: beechgrade.Settings{RouterCount: 1, Tick: 2 * time.Millisecond, ListShowsRole: true, ListRoleUpdates: true,
 			MaxAttempts: 8, Classes: []beechgrade.Class{
 				{LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1, Read: beechgrade.ReadAny},
-				{LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1, Read: beechgrade.Write, Effect: beechgrade.Unsafe}}}}
+				{LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1, Read: beechgrade.Write,
+					Effect: beechgrade.Unsafe}}}}
 	if change != nil {
 		change(cfg)
 	}
@@ -122,7 +123,8 @@
 			if err != nil {
 				t.Error(err)
 			}
-			if _, err := tc.core.Submit(front.Request{ID: "2", Class: "read", Deadline: now + 500, Query: answers}, answers); err != nil {
+			if _, err := tc.core.Submit(front.Request{ID: "2", Class: "read", Deadline: now + 500, Query: answers},
+				answers); err != nil {
 				t.Error(err)
 			}
 			tc.core.Abandon(ref, "peer")
@@ -132,14 +134,14 @@
 		select {
 		case got := <-answers:
 			if got != "refused" {
-				t.Errorf("MayCancel %v: the second request was %s", mayCancel, got)
+				t.Errorf("MayCancel %v: the second request was %s, want refused", mayCancel, got)
 			}
 		case <-time.After(20 * time.Second):
 			t.Fatal("the second request has no answer")
 		}
 		tc.do(func() {
 			if n := tc.core.OpenRequests(); n != 0 || len(tc.core.openIDs) != 0 {
-				t.Errorf("MayCancel %v: %d requests and %d ids are left", mayCancel, n, len(tc.core.openIDs))
+				t.Errorf("MayCancel %v: %d requests and %d ids are left, want none", mayCancel, n, len(tc.core.openIDs))
 			}
 		})
 		for _, conn := range conns {
@@ -156,7 +158,7 @@
 		}
 		for _, conn := range conns {
 			if n, err := io.Copy(io.Discard, conn); n > 0 || err != nil {
-				t.Errorf("MayCancel %v: %d bytes were sent, then %v", mayCancel, n, err)
+				t.Errorf("MayCancel %v: %d bytes were sent, then error %v; want none", mayCancel, n, err)
 			}
 		}
 	}
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -19,11 +19,11 @@
 func (c *Core) ListFailed() { c.deliver(&beechgrade.List{Kind: beechgrade.ListFailed}) }
 
 // applyList delivers a server list to the router and updates the servers' addresses and states.
-func (c *Core) applyList(l *discovery.List, kind beechgrade.ListKind) {
+func (c *Core) applyList(list *discovery.List, kind beechgrade.ListKind) {
 	event, now := &beechgrade.List{Kind: kind}, c.loop.Now()
 	listed := map[string]bool{}
-	for i := range l.Instances {
-		instance := &l.Instances[i]
+	for i := range list.Instances {
+		instance := &list.Instances[i]
 		if instance.ID == "" {
 			continue
 		}
@@ -46,7 +46,7 @@
 		}
 		event.Entries = append(event.Entries, entry)
 	}
-	c.log.Debug("list", "kind", kind, "generation", l.Generation, "entries", len(event.Entries))
+	c.log.Debug("list", "kind", kind, "generation", list.Generation, "entries", len(event.Entries))
 	c.deliver(event)
 	for i := range event.Entries { // attempts in flight at a drained or removed server continue
 		switch id := string(event.Entries[i].Server); {
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -15,14 +15,14 @@
 // request is a client's request. It stays in the table until it and all its attempts have ended.
 // Times are in milliseconds on the loop's clock.
 type request struct {
-	id            string
-	nonIdempotent bool // its class is not Safe: it must not take effect twice
-	client        front.Client
-	query         backend.Query
-	deadline      float64
-	attempts      []attempt // indexed by attempt number
-	openAttempts  int       // started attempts that have not ended
-	ended         bool      // it has its final answer or was abandoned
+	id           string
+	atMostOnce   bool // its class is not Safe: it must not take effect twice
+	client       front.Client
+	query        backend.Query
+	deadline     float64
+	attempts     []attempt // indexed by attempt number
+	openAttempts int       // started attempts that have not ended
+	ended        bool      // it has its final answer, or was abandoned
 
 	answered   bool    // it has its final answer
 	firstRunAt float64 // when the first attempt that may have run was written, 0 if there is none
@@ -45,8 +45,9 @@
 	result    beechgrade.Result
 }
 
-// BeforeSend implements backend.Events. It abandons a request whose client has disconnected.
-func (c *Core) BeforeSend(id backend.AttemptID, deadline float64) (timeoutMs int, ok bool) {
+// BeforeSend implements backend.Events. It abandons a request whose client has disconnected, and allows an attempt only if no
+// invariant forbids it.
+func (c *Core) BeforeSend(id backend.AttemptID, timeoutAt float64) (timeLimitMs int, ok bool) {
 	req, ok := c.requests.Get(id.Request)
 	if !ok {
 		return 0, false
@@ -59,14 +60,15 @@
 	if now >= req.deadline { // the process may have been paused since the deadline was last checked
 		return 0, false
 	}
-	timeoutMs = int(max(1, math.Floor(deadline-now)))
-	if !c.guard.CheckSend(invariant.Attempt{ID: req.id, Effect: class.Effect, RequestEnded: req.ended, InFlight: req.inFlight(),
-		MayDuplicate: c.cfg.Settings.MayDuplicate, FirstRunAt: req.firstRunAt, DedupWindowMs: clock.Milliseconds(class.DedupWindow),
-		Now: now, Deadline: req.deadline, TimeoutMs: float64(timeoutMs)}) {
+	timeLimitMs = int(max(1, math.Floor(timeoutAt-now)))
+	if !c.guard.CheckSend(invariant.Attempt{ID: req.id, Effect: class.Effect, RequestEnded: req.ended,
+		InFlight: req.inFlight(), MayDuplicate: c.cfg.Settings.MayDuplicate, FirstRunAt: req.firstRunAt,
+		DedupWindowMs: clock.Milliseconds(class.DedupWindow), Now: now, Deadline: req.deadline,
+		TimeLimitMs: float64(timeLimitMs)}) {
 		return 0, false
 	}
 	req.attempts[id.Number].sentAt = now
-	return timeoutMs, true
+	return timeLimitMs, true
 }
 
 // inFlight returns the number of attempts that were written and have not ended.
@@ -90,13 +92,13 @@
 }
 
 // finish ends a request with a final answer of the router and returns it, or nil if it had already ended.
-func (c *Core) finish(a *beechgrade.Action) *request {
-	ref := requestRef(a.ID)
+func (c *Core) finish(action *beechgrade.Action) *request {
+	ref := requestRef(action.ID)
 	req, ok := c.requests.Get(ref)
 	if !ok || req.ended || !c.guard.CheckAnswer(req.id, req.answered) {
 		return nil
 	}
-	req.ended, req.answered, req.reason = true, true, a.Text
+	req.ended, req.answered, req.reason = true, true, action.Text
 	c.release(ref, req)
 	return req
 }
@@ -119,24 +121,25 @@
 
 // startAttempt starts a request's next attempt. It skips the attempt if the request has ended, has used all its attempts
 // or has reached its deadline.
-func (c *Core) startAttempt(a *beechgrade.Action) {
-	ref := requestRef(a.ID)
+func (c *Core) startAttempt(action *beechgrade.Action) {
+	ref := requestRef(action.ID)
 	req, ok := c.requests.Get(ref)
 	if !ok {
 		return
 	}
-	number, deadline := len(req.attempts), req.deadline
-	if a.Wait != 0 {
-		deadline = min(deadline, c.loop.Now()+clock.Milliseconds(a.Wait))
+	number, timeoutAt := len(req.attempts), req.deadline
+	if action.Wait != 0 {
+		timeoutAt = min(timeoutAt, c.loop.Now()+clock.Milliseconds(action.Wait))
 	}
-	req.attempts = append(req.attempts, attempt{server: a.Server, startedAt: c.loop.Now()})
+	req.attempts = append(req.attempts, attempt{server: action.Server, startedAt: c.loop.Now()})
 	if req.ended || number >= c.cfg.Settings.MaxAttempts || req.deadline <= c.loop.Now() {
-		c.deliver(&beechgrade.Outcome{ID: a.ID, Attempt: number, Server: a.Server, Result: beechgrade.Skipped, Final: req.ended})
+		c.deliver(&beechgrade.Outcome{ID: action.ID, Attempt: number, Server: action.Server, Result: beechgrade.Skipped,
+			Final: req.ended})
 		return
 	}
 	req.openAttempts++
-	attemptRef := c.servers.StartAttempt(string(a.Server), req.query, deadline, clock.Milliseconds(a.SendDeadline),
-		req.nonIdempotent, backend.AttemptID{Request: ref, Number: number})
+	attemptRef := c.servers.StartAttempt(string(action.Server), req.query, timeoutAt, clock.Milliseconds(action.SendDeadline),
+		req.atMostOnce, backend.AttemptID{Request: ref, Number: number})
 	req.attempts[number].ref = attemptRef
 }
 
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -29,7 +29,7 @@
 	for _, want := range []string{"id=7f", "how=refused", "class=browse", "group=2", "ms=300", "patience=800",
 		`tries="a:0+3-52:missed b:52+0"`, "omitted=0"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("no %s in %s", want, out.String())
+			t.Errorf("%s is missing in the line: %s", want, out.String())
 		}
 	}
 	out.Reset()
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -22,7 +22,7 @@
 	SentAfterDeadline     Rule = "sent_after_due"   // sending an attempt after the request's deadline
 	ConcurrentAttempts    Rule = "two_attempts_out" // sending an attempt with another in flight, without MayDuplicate
 	MayRunTwice           Rule = "may_run_twice"    // repeating an attempt that may have run, where Effect forbids it
-	TimeoutTooLong        Rule = "told_too_long"    // sending a time limit that exceeds the time to the deadline
+	TimeLimitTooLong      Rule = "told_too_long"    // sending a time limit that exceeds the time to the deadline
 	AnsweredTwice         Rule = "answered_twice"   // giving a request a second final answer
 	ClosedUnanswered      Rule = "closed_owing"     // closing a client's connection with unanswered requests
 	AcceptedAfterShutdown Rule = "taken_after_end"  // accepting a request after the end of service
@@ -56,23 +56,25 @@
 	FirstRunAt    float64 // when the first attempt that may have run was written, 0 if there is none
 	DedupWindowMs float64 // for deduplicated requests: repeats are dropped for this long after FirstRunAt
 	Now, Deadline float64
-	TimeoutMs     float64 // the time limit that is sent to the server
+	TimeLimitMs   float64 // the time limit that is sent to the server
 }
 
 // CheckSend reports whether an attempt may be written.
-func (g *Guard) CheckSend(a Attempt) bool {
+func (g *Guard) CheckSend(attempt Attempt) bool {
 	switch {
-	case a.RequestEnded:
-		return g.violated(SentAfterEnd, "id", a.ID)
-	case a.Now >= a.Deadline:
-		return g.violated(SentAfterDeadline, "id", a.ID, "late_ms", a.Now-a.Deadline)
-	case a.InFlight > 0 && !a.MayDuplicate:
-		return g.violated(ConcurrentAttempts, "id", a.ID, "out", a.InFlight)
-	case a.FirstRunAt > 0 && a.Effect == beechgrade.Unsafe,
-		a.FirstRunAt > 0 && a.Effect == beechgrade.Deduplicated && a.Now >= a.FirstRunAt+a.DedupWindowMs:
-		return g.violated(MayRunTwice, "id", a.ID, "since_ms", a.Now-a.FirstRunAt)
-	case a.TimeoutMs > max(1, a.Deadline-a.Now): // the shortest time limit that can be sent is 1 ms
-		return g.violated(TimeoutTooLong, "id", a.ID, "told_ms", a.TimeoutMs, "left_ms", a.Deadline-a.Now)
+	case attempt.RequestEnded:
+		return g.violated(SentAfterEnd, "id", attempt.ID)
+	case attempt.Now >= attempt.Deadline:
+		return g.violated(SentAfterDeadline, "id", attempt.ID, "late_ms", attempt.Now-attempt.Deadline)
+	case attempt.InFlight > 0 && !attempt.MayDuplicate:
+		return g.violated(ConcurrentAttempts, "id", attempt.ID, "out", attempt.InFlight)
+	case attempt.FirstRunAt > 0 && attempt.Effect == beechgrade.Unsafe,
+		attempt.FirstRunAt > 0 && attempt.Effect == beechgrade.Deduplicated &&
+			attempt.Now >= attempt.FirstRunAt+attempt.DedupWindowMs:
+		return g.violated(MayRunTwice, "id", attempt.ID, "since_ms", attempt.Now-attempt.FirstRunAt)
+	case attempt.TimeLimitMs > max(1, attempt.Deadline-attempt.Now): // the shortest time limit that can be sent is 1 ms
+		return g.violated(TimeLimitTooLong, "id", attempt.ID, "told_ms", attempt.TimeLimitMs,
+			"left_ms", attempt.Deadline-attempt.Now)
 	}
 	return true
 }
@@ -86,9 +88,9 @@
 }
 
 // CheckClose reports whether a client's connection may be closed for the given reason with the given number of unanswered
-// requests. forced says that the client itself is the reason: it does not read, or sends input that cannot be accepted.
-func (g *Guard) CheckClose(reason string, unanswered int, forced bool) bool {
-	if unanswered > 0 && !forced {
+// requests. clientAtFault says that the client itself is the reason: it does not read, or sends input that cannot be accepted.
+func (g *Guard) CheckClose(reason string, unanswered int, clientAtFault bool) bool {
+	if unanswered > 0 && !clientAtFault {
 		return g.violated(ClosedUnanswered, "why", reason, "owed", unanswered)
 	}
 	return true
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -10,7 +10,7 @@
 
 // TestCheckSend checks that each violation is rejected and counted under the name of its rule, and that valid attempts pass.
 func TestCheckSend(t *testing.T) {
-	valid := Attempt{ID: "1", Effect: beechgrade.Unsafe, Now: 1000, Deadline: 2000, TimeoutMs: 1000, DedupWindowMs: 500}
+	valid := Attempt{ID: "1", Effect: beechgrade.Unsafe, Now: 1000, Deadline: 2000, TimeLimitMs: 1000, DedupWindowMs: 500}
 	for name, c := range map[string]struct {
 		change func(*Attempt)
 		want   Rule
@@ -24,8 +24,8 @@
 		"safe and may have run":       {func(a *Attempt) { a.FirstRunAt, a.Effect = 999, beechgrade.Safe }, ""},
 		"dedup, within its window":    {func(a *Attempt) { a.FirstRunAt, a.Effect = 501, beechgrade.Deduplicated }, ""},
 		"dedup, past its window":      {func(a *Attempt) { a.FirstRunAt, a.Effect = 500, beechgrade.Deduplicated }, MayRunTwice},
-		"time limit too long":         {func(a *Attempt) { a.TimeoutMs = 1001 }, TimeoutTooLong},
-		"shortest time limit":         {func(a *Attempt) { a.Deadline, a.TimeoutMs = 1000.5, 1 }, ""},
+		"time limit too long":         {func(a *Attempt) { a.TimeLimitMs = 1001 }, TimeLimitTooLong},
+		"shortest time limit":         {func(a *Attempt) { a.Deadline, a.TimeLimitMs = 1000.5, 1 }, ""},
 		"unsafe, but nothing has run": {func(a *Attempt) { a.FirstRunAt = 0 }, ""},
 	} {
 		m := metrics.New()
