--- a/internal/front/client_limits.go
+++ b/internal/front/client_limits.go
@@ -59,14 +59,14 @@
 	closeProtocol loop.Reason = "front.protocol"
 	// closeCancel: the client has sent a cancel request, which has no answer.
 	closeCancel loop.Reason = "front.cancel"
-	// closeImmediate: the session has ended and the connection cannot be half-closed first.
+	// closeImmediate: the session has ended, but the client cannot be given halfClosedTimeoutMs to close the connection.
 	closeImmediate loop.Reason = "front.last_word"
 )
 
 // Budget holds the limits on the resources that the front may use.
 type Budget struct {
 	SpareDescriptors    func() int  // descriptors left for clients, below 0 if there are too many clients
-	ActiveClientLimit   func() int  // with more active clients than this, idle ones are closed
+	ActiveClientLimit   func() int  // number of active clients above which idle ones are closed, see enforceActiveLimit
 	CloseIdleServerConn func() bool // closes an idle connection to a server and reports whether there was one
 	MemoryBytes         func() int  // memory limit of the process, in bytes
 
@@ -188,8 +188,9 @@
 }
 
 // admit reports whether there is a descriptor for a new client. If there is none, it closes other connections: first those of
-// clients that wait for nothing and have sent no request, then idle connections to servers, then those of idle clients, which
-// can reconnect, and last those of clients whose message has been incomplete for sweepIntervalMs.
+// clients that are half-closed, still starting up or idle without any request so far, then idle connections to servers, then
+// those of other idle clients, which can reconnect, and last those of clients whose message has been incomplete for
+// sweepIntervalMs.
 func (p *Postgres) admit(s *session) bool {
 	for p.budget.SpareDescriptors() < 0 {
 		if !p.evict(stateHalfClosed, 0) && !p.evict(stateStartingUp, 0) && !p.evict(stateIdleUnused, 0) &&
@@ -206,15 +207,16 @@
 	return true
 }
 
-// FreeDescriptor closes one connection and reports whether there was one to close. It prefers a client that waits for nothing
-// and has sent no request, then an idle connection to a server, then an idle client. It is called when the system has no
-// descriptor left.
+// FreeDescriptor closes one connection and reports whether there was one to close. It prefers that of a client that is
+// half-closed, still starting up or idle without any request so far, then an idle connection to a server, then that of another
+// idle client. It is called when the system has no descriptor left.
 func (p *Postgres) FreeDescriptor() bool {
 	return p.evict(stateHalfClosed, 0) || p.evict(stateStartingUp, 0) || p.evict(stateIdleUnused, 0) ||
 		p.budget.CloseIdleServerConn() || p.evict(stateIdle, 0)
 }
 
-// enforceActiveLimit closes idle connections while more clients are active than Budget.ActiveClientLimit allows. The number of
+// enforceActiveLimit closes idle connections while more clients are active than Budget.ActiveClientLimit allows. All clients
+// count as active but those that are half-closed, still starting up or idle without any request so far. The number of
 // connections that clients may open is limited, and some clients keep each one open for a while after a single request.
 func (p *Postgres) enforceActiveLimit() {
 	for p.sessionsByState[stateIdle].Len()+p.sessionsByState[statePartialMessage].Len()+p.sessionsByState[stateBusy].Len() >
--- a/internal/front/client_limits_test.go
+++ b/internal/front/client_limits_test.go
@@ -141,7 +141,7 @@
 		f.nextSubmitted()
 	}
 	if got := f.loop.Metrics().Sum(metrics.Closed); got != 0 {
-		t.Errorf("%d connections were closed", got)
+		t.Errorf("%d connections were closed, want none", got)
 	}
 }
 
@@ -155,14 +155,14 @@
 	firstRequest := f.nextSubmitted()
 	f.write(second, request("2", 60<<10))
 	if typ := f.read(second, 1)[0]; typ != 'E' {
-		t.Fatalf("the second client received message type %q", typ)
+		t.Fatalf("the second client received message type %q, want an error (E)", typ)
 	}
 	f.do(firstRequest.Failed)
 	if typ := f.read(first, 1)[0]; typ != 'E' {
-		t.Fatalf("the first client received message type %q", typ)
+		t.Fatalf("the first client received message type %q, want an error (E)", typ)
 	}
 	if got := f.loop.Metrics().Sum(metrics.Closed); got != 0 || len(f.submitted) > 0 {
-		t.Errorf("%d connections were closed, %d more requests submitted", got, len(f.submitted))
+		t.Errorf("%d connections were closed, %d more requests submitted, want none", got, len(f.submitted))
 	}
 }
 
@@ -178,6 +178,6 @@
 	f.write(complete, request("1", 20<<10))
 	f.do(f.nextSubmitted().Failed)
 	if got := f.loop.Metrics().Sum(metrics.Closed); got != 0 {
-		t.Errorf("%d connections were closed", got)
+		t.Errorf("%d connections were closed, want none", got)
 	}
 }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -12,11 +12,11 @@
 	ID          string // unique among open requests
 	Class       string
 	Group       int
-	Session     string
+	Session     string  // key of the client's session, empty for none
 	Deadline    float64 // on the loop's clock, in milliseconds: the time at which the client gives up
 	MinPosition float64 // on the loop's clock, in milliseconds: the read needs data at least this recent; 0 for any
-	Retry       bool
-	IsWrite     bool // the statement changes data
+	Retry       bool    // whether the client says that it has sent this request before
+	IsWrite     bool    // whether the statement changes data
 	Query       backend.Query
 }
 
@@ -25,12 +25,12 @@
 	Served(answer []byte)    // valid during the call
 	Refused(retryMs float64) // a retry is safe; the client should wait for retryMs, unless that is 0
 	Failed()                 // the request may or may not have had an effect
-	Connected() bool         // reports whether the client is still connected; asks the system if the loop was paused
+	Connected() bool         // reports whether the client is still connected; queries the socket if the loop may be behind
 }
 
 // RequestHandler accepts requests. Submit may answer the client before it returns; the returned Ref is
 // then no longer valid.
 type RequestHandler interface {
-	Submit(q Request, c Client) (slots.Ref, error)
-	Abandon(ref slots.Ref, why string) // the client has disconnected, or this side has closed its connection
+	Submit(request Request, client Client) (slots.Ref, error)
+	Abandon(ref slots.Ref, reason string) // the client has disconnected, or this side has closed its connection
 }
--- a/internal/front/postgres.go
+++ b/internal/front/postgres.go
@@ -17,7 +17,7 @@
 const (
 	// maxMessageBytes is the maximum length of a client's message: twice the length of a 64 KiB value in hex.
 	maxMessageBytes = 1 << 18
-	// maxReadAheadBytes is the number of bytes that a client may send before they are processed.
+	// maxReadAheadBytes is the maximum number of unprocessed bytes from a client.
 	maxReadAheadBytes = 1 << 19
 	// maxQueuedCommands is the number of unanswered commands that are accepted from one client.
 	maxQueuedCommands = 16
@@ -155,6 +155,7 @@
 	s.conn.Close(reason)
 }
 
+// idle reports whether the session is open, with nothing to process, to answer or to send.
 func (s *session) idle() bool {
 	return !s.closed && !s.ended && s.conn != nil && len(s.commands) == 0 &&
 		s.reader.Buffered() == 0 && s.conn.UnsentBytes() == 0
@@ -235,14 +236,14 @@
 	if typ, ok := s.reader.NextType(); ok && !strings.ContainsRune("QXSPBDECHF", rune(typ)) {
 		return false, fmt.Errorf("%w: type %q", pgwire.ErrMalformed, typ)
 	}
-	m, ok, err := s.reader.Next()
+	message, ok, err := s.reader.Next()
 	if err != nil || !ok {
 		return false, err
 	}
-	arrivedAt := s.arrivals.consume(len(m.Raw))
-	switch m.Type {
+	arrivedAt := s.arrivals.consume(len(message.Raw))
+	switch message.Type {
 	case 'Q':
-		sql, err := pgwire.ParseText(m.Body)
+		sql, err := pgwire.ParseText(message.Body)
 		if err != nil {
 			return false, err
 		}
@@ -256,9 +257,9 @@
 		if s.skipUntilSync {
 			break
 		}
-		s.skipUntilSync = m.Type != 'F'
+		s.skipUntilSync = message.Type != 'F'
 		s.buf = pgwire.AppendError(s.buf[:0], "ERROR", codeUnsupported, "only simple queries are taken", "")
-		if m.Type == 'F' {
+		if message.Type == 'F' {
 			s.buf = pgwire.AppendReady(s.buf)
 		}
 		s.respond(s.buf)
@@ -266,6 +267,8 @@
 	return true, nil
 }
 
+// processStartup processes a startup message, an encryption request or a cancel request, and returns false if there is no
+// complete one.
 func (s *session) processStartup() (bool, error) {
 	buffered := s.reader.Buffered()
 	kind, ok, err := s.reader.Startup()
@@ -325,6 +328,7 @@
 	s.hasRequested = s.hasRequested || err == nil
 }
 
+// send writes a message to the client. Its memory becomes the session's buffer unless it is larger than maxKeptBufferBytes.
 func (s *session) send(message []byte) {
 	if s.buf = message; cap(message) > maxKeptBufferBytes {
 		s.buf = nil
--- a/internal/front/postgres_test.go
+++ b/internal/front/postgres_test.go
@@ -26,18 +26,19 @@
 // request answers the first one, and the connection breaks as this answer is written. At that time the session does not have the
 // second request's Ref yet; the request must be abandoned nevertheless.
 func TestClientClosedDuringSubmit(t *testing.T) {
-	var p *Postgres
+	var frontEnd *Postgres
 	var first Client
 	secondRef, abandoned := slots.Ref{Index: 7, Generation: 3}, make(chan slots.Ref, 9)
 	ready, ended := make(chan struct{}), make(chan error, 1)
-	l := loop.New(clock.System(), slog.New(slog.DiscardHandler), func() loop.Handler { return p.NewHandler() }, func() {})
-	p = NewPostgres(l, slog.New(slog.DiscardHandler), stubHandler{
-		submit: func(_ Request, c Client) (slots.Ref, error) {
+	eventLoop := loop.New(clock.System(), slog.New(slog.DiscardHandler), func() loop.Handler { return frontEnd.NewHandler() },
+		func() {})
+	frontEnd = NewPostgres(eventLoop, slog.New(slog.DiscardHandler), stubHandler{
+		submit: func(_ Request, client Client) (slots.Ref, error) {
 			if first == nil {
-				first = c
+				first = client
 				return slots.Ref{Index: 1, Generation: 1}, nil
 			}
-			p.sessions.Each(func(_ slots.Ref, s *session) { // as if writing the answer had found the connection broken
+			frontEnd.sessions.Each(func(_ slots.Ref, s *session) { // as if writing the answer had found the connection broken
 				if s.hasRequested {
 					s.conn.Close("test")
 				}
@@ -46,22 +47,22 @@
 			return secondRef, nil
 		},
 		abandon: func(ref slots.Ref) { abandoned <- ref },
-	}, invariant.New(slog.New(slog.DiscardHandler), l.Metrics()), Budget{SpareDescriptors: func() int { return 9 },
+	}, invariant.New(slog.New(slog.DiscardHandler), eventLoop.Metrics()), Budget{SpareDescriptors: func() int { return 9 },
 		ActiveClientLimit: func() int { return 9 }, CloseIdleServerConn: func() bool { return false },
 		MemoryBytes: func() int { return 1 << 20 }})
-	l.OnReady = func() { close(ready) }
-	go func() { ended <- l.Run("127.0.0.1:0") }()
+	eventLoop.OnReady = func() { close(ready) }
+	go func() { ended <- eventLoop.Run("127.0.0.1:0") }()
 	<-ready
-	c, err := net.Dial("tcp", l.Addr())
+	conn, err := net.Dial("tcp", eventLoop.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = c.Close() }()
-	b := pgwire.AppendStartup(nil, "backend", "store")
+	defer func() { _ = conn.Close() }()
+	input := pgwire.AppendStartup(nil, "backend", "store")
 	for _, id := range []string{"1", "2"} {
-		b = pgwire.AppendQuery(b, "SELECT content FROM kv /* id="+id+",c=read,d=500,cluster=0 */")
+		input = pgwire.AppendQuery(input, "SELECT content FROM kv /* id="+id+",c=read,d=500,cluster=0 */")
 	}
-	if _, err := c.Write(b); err != nil {
+	if _, err := conn.Write(input); err != nil {
 		t.Fatal(err)
 	}
 	received := map[slots.Ref]bool{}
@@ -70,10 +71,10 @@
 		case ref := <-abandoned:
 			received[ref] = true
 		case <-timeout:
-			t.Fatalf("the second request was not abandoned, only %v", received)
+			t.Fatalf("the second request was not abandoned; abandoned were %v", received)
 		}
 	}
-	l.Shutdown()
+	eventLoop.Shutdown()
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
--- a/internal/front/queue_test.go
+++ b/internal/front/queue_test.go
@@ -28,7 +28,7 @@
 			got = append(got, r.consume(n))
 		}
 		if diff := cmp.Diff(c.want, got); diff != "" || r.entries != nil {
-			t.Errorf("%s: %s, left %v", name, diff, r.entries)
+			t.Errorf("%s: arrival times differ: %s; entries left: %v, want none", name, diff, r.entries)
 		}
 	}
 }
@@ -40,6 +40,6 @@
 		r.add(1, float64(i))
 	}
 	if at := r.consume(1000); len(r.entries) != 0 || at != maxArrivals-1 {
-		t.Errorf("%d entries left, the last byte arrived at %v", len(r.entries), at)
+		t.Errorf("%d entries left, want 0; the last byte arrived at %v, want maxArrivals-1", len(r.entries), at)
 	}
 }
