--- a/internal/pgwire/answer.go
+++ b/internal/pgwire/answer.go
@@ -15,7 +15,8 @@
 	maxNonRowBytes = 1 << 17
 )
 
-// MaxMessage is the maximum length of a message that an Answer accepts.
+// MaxMessage is the maximum length of a message that an Answer accepts. The length of a DataRow includes 10 bytes beside its
+// value.
 const MaxMessage = maxValueBytes + 10
 
 // phase says which message of an answer is expected next, apart from errors, notices and parameters.
@@ -35,7 +36,7 @@
 // an error. If a server sends anything else, the rest of its answer cannot be trusted either.
 type Answer struct {
 	phase       phase
-	received    bool
+	received    bool   // at least one message was received
 	nonRowBytes int    // bytes of messages other than DataRow
 	Succeeded   bool   // a complete row was received, and no error
 	ErrorCode   string // SQLSTATE of the error
@@ -59,20 +60,20 @@
 	if err := a.checkHeader(r.buf[r.off:]); err != nil {
 		return Message{}, false, err
 	}
-	m, ok, err := r.Next()
+	message, ok, err := r.Next()
 	if err != nil || !ok {
 		return Message{}, false, err
 	}
-	if a.received = true; m.Type != 'D' {
-		a.nonRowBytes += len(m.Raw)
+	if a.received = true; message.Type != 'D' {
+		a.nonRowBytes += len(message.Raw)
 	}
 	if a.nonRowBytes > maxNonRowBytes {
 		return Message{}, false, fmt.Errorf("%w: over %d bytes beside the row", ErrMalformed, maxNonRowBytes)
 	}
-	if err := a.accept(m); err != nil {
+	if err := a.accept(message); err != nil {
 		return Message{}, false, err
 	}
-	return m, true, nil
+	return message, true, nil
 }
 
 // expected reports whether a message of this type may come next.
@@ -99,74 +100,74 @@
 }
 
 // checkHeader checks the available bytes of the next message.
-func (a *Answer) checkHeader(b []byte) error {
-	if len(b) == 0 {
+func (a *Answer) checkHeader(input []byte) error {
+	if len(input) == 0 {
 		return nil
 	}
-	if !a.expected(b[0]) {
-		return fmt.Errorf("%w: type %q is not due", ErrMalformed, b[0])
+	if !a.expected(input[0]) {
+		return fmt.Errorf("%w: type %q is not due", ErrMalformed, input[0])
 	}
-	if len(b) < 5 {
+	if len(input) < 5 {
 		return nil
 	}
-	n, maxLen := binary.BigEndian.Uint32(b[1:]), uint32(maxOtherMessageBytes)
-	switch b[0] {
+	length, maxLength := binary.BigEndian.Uint32(input[1:]), uint32(maxOtherMessageBytes)
+	switch input[0] {
 	case 'D':
-		maxLen = MaxMessage
+		maxLength = MaxMessage
 	case 'R':
-		maxLen = 8
+		maxLength = 8
 	case 'Z':
-		maxLen = 5
+		maxLength = 5
 	}
-	if n < 4 || n > maxLen {
-		return fmt.Errorf("%w: type %q with length %d", ErrMalformed, b[0], n)
+	if length < 4 || length > maxLength {
+		return fmt.Errorf("%w: type %q with length %d", ErrMalformed, input[0], length)
 	}
-	if b[0] == 'D' && len(b) >= 11 {
-		if size := int32(binary.BigEndian.Uint32(b[7:])); int64(max(size, 0))+10 != int64(n) || size < -1 {
-			return fmt.Errorf("%w: a value of %d bytes in a row of %d", ErrMalformed, size, n)
+	if input[0] == 'D' && len(input) >= 11 {
+		if size := int32(binary.BigEndian.Uint32(input[7:])); int64(max(size, 0))+10 != int64(length) || size < -1 {
+			return fmt.Errorf("%w: a value of %d bytes in a row of %d", ErrMalformed, size, length)
 		}
 	}
 	return nil
 }
 
 // accept checks a complete message of an expected type and moves on to the next phase.
-func (a *Answer) accept(m Message) error {
+func (a *Answer) accept(message Message) error {
 	valid := true
-	switch m.Type {
+	switch message.Type {
 	case 'R':
-		valid = len(m.Body) == 4 && binary.BigEndian.Uint32(m.Body) == 0
+		valid = len(message.Body) == 4 && binary.BigEndian.Uint32(message.Body) == 0
 		a.phase = phaseStartup
 	case 'S':
-		_, _, err := ParseParameter(m.Body)
+		_, _, err := ParseParameter(message.Body)
 		valid = err == nil
 	case 'K':
-		valid = len(m.Body) >= 8
+		valid = len(message.Body) >= 8
 	case 'N':
-		valid = validFields(m.Body)
+		valid = validFields(message.Body)
 	case 'E':
-		a.ErrorCode = ErrorCode(m.Body)
-		if valid = validFields(m.Body) && len(a.ErrorCode) == 5; a.phase != phaseStartup && a.phase != phaseAuth {
+		a.ErrorCode = ErrorCode(message.Body)
+		if valid = validFields(message.Body) && len(a.ErrorCode) == 5; a.phase != phaseStartup && a.phase != phaseAuth {
 			a.phase = phaseReady
 		}
 	case 'T':
-		valid = hasOneColumn(m.Body)
+		valid = hasOneColumn(message.Body)
 		a.phase = phaseDataRow
 	case 'D':
-		_, err := ParseColumn(m.Body)
+		_, err := ParseColumn(message.Body)
 		valid = err == nil
 		a.phase = phaseCommandComplete
 	case 'C':
-		_, err := ParseText(m.Body)
+		_, err := ParseText(message.Body)
 		valid = err == nil
 		a.phase = phaseReady
 	case 'Z':
-		if valid = string(m.Body) == "I"; valid {
+		if valid = string(message.Body) == "I"; valid {
 			a.Succeeded = a.phase == phaseReady && a.ErrorCode == ""
 			a.phase = phaseDone
 		}
 	}
 	if !valid {
-		return fmt.Errorf("%w: body of type %q", ErrMalformed, m.Type)
+		return fmt.Errorf("%w: body of type %q", ErrMalformed, message.Type)
 	}
 	return nil
 }
--- a/internal/pgwire/answer_test.go
+++ b/internal/pgwire/answer_test.go
@@ -63,14 +63,14 @@
 				if c.atOnce {
 					piece = len(c.in)
 				}
-				r, a, got := NewReader(MaxMessage), NewQueryAnswer(), "waits"
+				reader, answer, got := NewReader(MaxMessage), NewQueryAnswer(), "waits"
 				if c.startup {
-					a = NewStartupAnswer()
+					answer = NewStartupAnswer()
 				}
 				for in := c.in; in != "" && got == "waits"; in = in[piece:] {
-					r.Feed([]byte(in[:piece]))
-					for !a.Done() {
-						_, ok, err := a.Next(&r)
+					reader.Feed([]byte(in[:piece]))
+					for !answer.Done() {
+						_, ok, err := answer.Next(&reader)
 						if errors.Is(err, ErrMalformed) {
 							got = "bad"
 						}
@@ -79,11 +79,11 @@
 						}
 					}
 					switch {
-					case a.Done() && a.Succeeded:
+					case answer.Done() && answer.Succeeded:
 						got = "served"
-					case a.Done() && a.ErrorCode != "":
-						got = "error " + a.ErrorCode
-					case a.Done():
+					case answer.Done() && answer.ErrorCode != "":
+						got = "error " + answer.ErrorCode
+					case answer.Done():
 						got = "ready"
 					}
 				}
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -9,9 +9,9 @@
 	"fmt"
 )
 
-// Codes in the first field of a startup message (the protocol version or the kind of the request), and limits.
+// Codes that follow the length in a startup message (the protocol version or the kind of the request), and limits.
 const (
-	ProtocolVersion    = 196608
+	ProtocolVersion    = 196608 // version 3.0
 	codeCancel         = 80877102
 	codeSSL            = 80877103
 	codeGSSEnc         = 80877104
@@ -77,18 +77,18 @@
 // Startup returns the kind of the next message of a connection whose session has not started, and false if the message is not
 // complete yet.
 func (r *Reader) Startup() (StartupKind, bool, error) {
-	b := r.buf[r.off:]
-	if len(b) < 8 {
+	input := r.buf[r.off:]
+	if len(input) < 8 {
 		return 0, false, nil
 	}
-	n, code := binary.BigEndian.Uint32(b), binary.BigEndian.Uint32(b[4:])
-	if n < 8 || n > maxStartupBytes {
-		return 0, false, fmt.Errorf("%w: startup of %d bytes", ErrMalformed, n)
+	length, code := binary.BigEndian.Uint32(input), binary.BigEndian.Uint32(input[4:])
+	if length < 8 || length > maxStartupBytes {
+		return 0, false, fmt.Errorf("%w: startup of %d bytes", ErrMalformed, length)
 	}
-	if len(b) < int(n) {
+	if len(input) < int(length) {
 		return 0, false, nil
 	}
-	r.off += int(n)
+	r.off += int(length)
 	switch {
 	case code == codeSSL || code == codeGSSEnc:
 		return StartupEncrypt, true, nil
@@ -102,22 +102,22 @@
 
 // Next returns the next message, and false if it is not complete yet.
 func (r *Reader) Next() (Message, bool, error) {
-	b := r.buf[r.off:]
-	if len(b) < 5 {
+	input := r.buf[r.off:]
+	if len(input) < 5 {
 		return Message{}, false, nil
 	}
-	n := binary.BigEndian.Uint32(b[1:])
-	if n < 4 || int64(n) > int64(r.max) {
-		return Message{}, false, fmt.Errorf("%w: type %q with length %d", ErrMalformed, b[0], n)
+	length := binary.BigEndian.Uint32(input[1:])
+	if length < 4 || int64(length) > int64(r.max) {
+		return Message{}, false, fmt.Errorf("%w: type %q with length %d", ErrMalformed, input[0], length)
 	}
-	if len(b) < int(n)+1 {
+	if len(input) < int(length)+1 {
 		return Message{}, false, nil
 	}
-	r.off += int(n) + 1
+	r.off += int(length) + 1
 	if r.off == len(r.buf) && cap(r.buf) > maxKeptBufferBytes {
 		r.buf, r.off = nil, 0 // only the returned message still refers to the buffer
 	}
-	return Message{Type: b[0], Body: b[5 : n+1], Raw: b[:n+1]}, true, nil
+	return Message{Type: input[0], Body: input[5 : length+1], Raw: input[:length+1]}, true, nil
 }
 
 // beginMessage appends a message's type and a placeholder for its length. It also returns the offset of the length, for
@@ -132,6 +132,7 @@
 	return dst
 }
 
+// appendStr appends a string and its terminating zero byte.
 func appendStr(dst []byte, s string) []byte { return append(append(dst, s...), 0) }
 
 // AppendStartup appends a client's startup message.
@@ -246,11 +247,11 @@
 	if len(body) < 6 || binary.BigEndian.Uint16(body) != 1 {
 		return nil, fmt.Errorf("%w: DataRow is not of one column", ErrMalformed)
 	}
-	n := int32(binary.BigEndian.Uint32(body[2:]))
-	if n == -1 && len(body) == 6 {
+	length := int32(binary.BigEndian.Uint32(body[2:]))
+	if length == -1 && len(body) == 6 {
 		return nil, nil
 	}
-	if int(n) != len(body)-6 {
+	if int(length) != len(body)-6 {
 		return nil, fmt.Errorf("%w: DataRow", ErrMalformed)
 	}
 	return body[6:], nil
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -39,11 +39,12 @@
 		"negative time-out":         {"SELECT 1 /* id=2,c=a,d=-5,cluster=1 */", Statement{}, "", cmpopts.AnyError},
 		"no group":                  {"SELECT 1 /* id=2,c=a,d=3 */", Statement{}, "", ErrNoComment},
 		"no id":                     {"SELECT 1 /* c=a,d=3,cluster=1 */", Statement{}, "", ErrNoComment},
-		"id too long":               {"SELECT 1 /* id=" + strings.Repeat("9", 300) + ",c=a,d=3,cluster=1 */", Statement{}, "", ErrNoComment},
-		"key given twice":           {"SELECT 1 /* id=2,c=a,d=3,cluster=1,id=3 */", Statement{}, "", cmpopts.AnyError},
-		"negative position":         {"SELECT 1 /* id=2,c=a,d=3,cluster=1,after=-7 */", Statement{}, "", cmpopts.AnyError},
-		"unsupported statement":     {"DROP TABLE kv /* id=2,c=a,d=3,cluster=1 */", Statement{}, "", ErrStatement},
-		"group not a number":        {"SELECT 1 /* id=2,c=a,d=1,cluster=q */", Statement{}, "", cmpopts.AnyError},
+		"id too long": {"SELECT 1 /* id=" + strings.Repeat("9", 300) + ",c=a,d=3,cluster=1 */", Statement{}, "",
+			ErrNoComment},
+		"key given twice":       {"SELECT 1 /* id=2,c=a,d=3,cluster=1,id=3 */", Statement{}, "", cmpopts.AnyError},
+		"negative position":     {"SELECT 1 /* id=2,c=a,d=3,cluster=1,after=-7 */", Statement{}, "", cmpopts.AnyError},
+		"unsupported statement": {"DROP TABLE kv /* id=2,c=a,d=3,cluster=1 */", Statement{}, "", ErrStatement},
+		"group not a number":    {"SELECT 1 /* id=2,c=a,d=1,cluster=q */", Statement{}, "", cmpopts.AnyError},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := ParseStatement(c.sql)
@@ -69,12 +70,12 @@
 	stream = AppendReady(AppendQuery(AppendQuery(stream, readSQL), ""))
 	want := []string{"startup 1", "startup 0", "Q" + readSQL + "\x00", "Q\x00", "ZI"}
 	for size := 1; size <= len(stream); size++ {
-		r := NewReader(1 << 10)
+		reader := NewReader(1 << 10)
 		var got []string
 		for part := range slices.Chunk(stream, size) {
-			r.Feed(part)
+			reader.Feed(part)
 			for len(got) < 2 {
-				kind, ok, err := r.Startup()
+				kind, ok, err := reader.Startup()
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -84,62 +85,63 @@
 				got = append(got, []string{"startup 0", "startup 1"}[kind])
 			}
 			for len(got) >= 2 {
-				m, ok, err := r.Next()
+				message, ok, err := reader.Next()
 				if err != nil {
 					t.Fatal(err)
 				}
 				if !ok {
 					break
 				}
-				got = append(got, string(m.Type)+string(m.Body))
+				got = append(got, string(message.Type)+string(message.Body))
 			}
 		}
-		if diff := cmp.Diff(want, got); diff != "" || r.Buffered() != 0 {
-			t.Fatalf("in pieces of %d, %d bytes left: %s", size, r.Buffered(), diff)
+		if diff := cmp.Diff(want, got); diff != "" || reader.Buffered() != 0 {
+			t.Fatalf("in pieces of %d, %d bytes left: %s", size, reader.Buffered(), diff)
 		}
 	}
 }
 
+// TestReaderBounds checks that messages with an invalid length or an unsupported version are rejected.
 func TestReaderBounds(t *testing.T) {
 	for name, b := range map[string][]byte{
 		"message longer than the maximum":     {'Q', 0, 0, 8, 0},
 		"length that does not include itself": {'Q', 0, 0, 0, 3},
 		"length of 4 GiB":                     {'Q', 255, 255, 255, 255},
 	} {
-		r := NewReader(1 << 10)
-		r.Feed(b)
-		if _, _, err := r.Next(); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%s: %v", name, err)
+		reader := NewReader(1 << 10)
+		reader.Feed(b)
+		if _, _, err := reader.Next(); !errors.Is(err, ErrMalformed) {
+			t.Errorf("%s: error %v, want ErrMalformed", name, err)
 		}
 	}
 	for name, b := range map[string][]byte{
 		"startup too long": {0, 1, 0, 0, 0, 3, 0, 0},
 		"version 2":        {0, 0, 0, 8, 0, 2, 0, 0},
 	} {
-		r := NewReader(1 << 10)
-		r.Feed(b)
-		if _, _, err := r.Startup(); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%s: %v", name, err)
+		reader := NewReader(1 << 10)
+		reader.Feed(b)
+		if _, _, err := reader.Startup(); !errors.Is(err, ErrMalformed) {
+			t.Errorf("%s: error %v, want ErrMalformed", name, err)
 		}
 	}
 }
 
 func TestParseBodies(t *testing.T) {
-	e := AppendError(nil, "ERROR", "53300", "full", "250")
-	if got := ErrorCode(e[5:]); got != "53300" {
-		t.Errorf("code %q", got)
+	message := AppendError(nil, "ERROR", "53300", "full", "250")
+	if got := ErrorCode(message[5:]); got != "53300" {
+		t.Errorf("code %q, want 53300", got)
 	}
 	for _, bad := range []string{"", "C", "C53300", "\x00"} {
 		if got := ErrorCode([]byte(bad)); got != "" {
-			t.Errorf("%q: code %q", bad, got)
+			t.Errorf("%q: code %q, want none", bad, got)
 		}
 	}
 	if got, err := ParseColumn([]byte("\x00\x01\x00\x00\x00\x02ab")); string(got) != "ab" || err != nil {
-		t.Errorf("column %q, %v", got, err)
+		t.Errorf("column %q, error %v; want column ab", got, err)
 	}
 	for _, bad := range []string{"", "\x00\x02\x00\x00\x00\x00", "\x00\x01\x00\x00\x00\x03ab"} {
 		if _, err := ParseColumn([]byte(bad)); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%q: %v", bad, err)
+			t.Errorf("%q: error %v, want ErrMalformed", bad, err)
 		}
 	}
 }
@@ -149,12 +151,12 @@
 func TestSessionKeyDoesNotRetainStatement(t *testing.T) {
 	sql := strings.Clone("INSERT INTO kv (name, content) VALUES ('7f3a', '" + strings.Repeat("0", 1<<16) +
 		"') RETURNING content /* id=1,c=order,d=480,cluster=2 */")
-	s, err := ParseStatement(sql)
-	if err != nil || s.SessionKey != "7f3a" {
-		t.Fatalf("key %q, error %v", s.SessionKey, err)
+	stmt, err := ParseStatement(sql)
+	if err != nil || stmt.SessionKey != "7f3a" {
+		t.Fatalf("key %q, error %v; want key 7f3a", stmt.SessionKey, err)
 	}
-	from, key := uintptr(unsafe.Pointer(unsafe.StringData(sql))), uintptr(unsafe.Pointer(unsafe.StringData(s.SessionKey)))
-	if key >= from && key < from+uintptr(len(sql)) {
+	start, key := uintptr(unsafe.Pointer(unsafe.StringData(sql))), uintptr(unsafe.Pointer(unsafe.StringData(stmt.SessionKey)))
+	if key >= start && key < start+uintptr(len(sql)) {
 		t.Error("the key shares the memory of the statement")
 	}
 }
--- a/internal/pgwire/statement.go
+++ b/internal/pgwire/statement.go
@@ -42,12 +42,12 @@
 	if commentStart < 0 || !strings.HasSuffix(body, "*/") || len(body) < commentStart+4 {
 		return Statement{}, ErrNoComment
 	}
-	s := Statement{}
+	stmt := Statement{}
 	keyword, _, _ := strings.Cut(strings.TrimLeft(body, " \t\r\n"), " ")
 	switch strings.ToUpper(keyword) {
 	case "SELECT":
 	case "INSERT", "UPDATE", "DELETE":
-		s.IsWrite = true
+		stmt.IsWrite = true
 	default:
 		return Statement{}, ErrStatement
 	}
@@ -74,45 +74,46 @@
 		}
 		switch name {
 		case "id":
-			s.ID = val
+			stmt.ID = val
 		case "c":
-			s.Class = val
+			stmt.Class = val
 		case "d":
 			valOffset += strings.Index(untrimmed, val)
-			s.beforeTimeout, s.afterTimeout = sql[:valOffset], sql[valOffset+len(val):]
-			if s.TimeoutMs, err = strconv.ParseFloat(val, 64); err == nil && !(s.TimeoutMs > 0 && s.TimeoutMs <= maxTimeoutMs) {
+			stmt.beforeTimeout, stmt.afterTimeout = sql[:valOffset], sql[valOffset+len(val):]
+			if stmt.TimeoutMs, err = strconv.ParseFloat(val, 64); err == nil &&
+				!(stmt.TimeoutMs > 0 && stmt.TimeoutMs <= maxTimeoutMs) {
 				err = strconv.ErrRange
 			}
 		case "cluster":
-			s.Group, err = strconv.Atoi(val)
+			stmt.Group, err = strconv.Atoi(val)
 		case "after":
-			if s.AfterMs, err = strconv.ParseInt(val, 10, 64); err == nil && s.AfterMs < 0 {
+			if stmt.AfterMs, err = strconv.ParseInt(val, 10, 64); err == nil && stmt.AfterMs < 0 {
 				err = strconv.ErrRange
 			}
 		case "r":
-			s.Retry = val == "1"
+			stmt.Retry = val == "1"
 		}
 		if err != nil {
 			return Statement{}, fmt.Errorf("comment: %s: %w", name, err)
 		}
 	}
-	if s.ID == "" || s.Class == "" || s.beforeTimeout == "" || !seen["cluster"] {
+	if stmt.ID == "" || stmt.Class == "" || stmt.beforeTimeout == "" || !seen["cluster"] {
 		return Statement{}, fmt.Errorf("comment: id, c, d and cluster are needed: %w", ErrNoComment)
 	}
-	if len(s.ID) > maxNameBytes || len(s.Class) > maxNameBytes {
+	if len(stmt.ID) > maxNameBytes || len(stmt.Class) > maxNameBytes {
 		return Statement{}, fmt.Errorf("comment: id or c of over %d bytes: %w", maxNameBytes, ErrNoComment)
 	}
 	if _, rest, ok := strings.Cut(body[:commentStart], "'"); ok {
 		key, _, _ := strings.Cut(rest, "'")
-		s.SessionKey = strings.Clone(key) // a copy: the key may be kept long after the statement, which may be large
+		stmt.SessionKey = strings.Clone(key) // a copy: the key may be kept long after the statement, which may be large
 	}
-	return s, nil
+	return stmt, nil
 }
 
-// AppendQuery appends the statement as a query to a server. The value of key d becomes timeoutMs, the time for which the pooler
-// waits for the answer.
-func (s *Statement) AppendQuery(dst []byte, timeoutMs int) []byte {
-	return AppendQuery(dst, s.beforeTimeout, strconv.Itoa(timeoutMs), s.afterTimeout)
+// AppendQuery appends the statement as a query to a server. The value of key d becomes timeLimitMs, the time for which the
+// pooler waits for the answer.
+func (s *Statement) AppendQuery(dst []byte, timeLimitMs int) []byte {
+	return AppendQuery(dst, s.beforeTimeout, strconv.Itoa(timeLimitMs), s.afterTimeout)
 }
 
 // Pairs yields the names and values of a list such as 'inflight=7,util=0.61'.
