--- a/cmd/beechgrade-sim/main.go
+++ b/cmd/beechgrade-sim/main.go
@@ -21,13 +21,13 @@
 
 // run replies to batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	dec := wire.NewDecoder(in)
-	w := bufio.NewWriterSize(out, 1<<20)
+	decoder := wire.NewDecoder(in)
+	writer := bufio.NewWriterSize(out, 1<<20)
 	routers := map[int]*beechgrade.Router{}
 	var reply wire.Reply
 	var actions []beechgrade.Action
 	for {
-		batch, err := dec.Next()
+		batch, err := decoder.Next()
 		if err == io.EOF {
 			return nil
 		}
@@ -57,10 +57,10 @@
 				}
 			}
 		}
-		if _, err := w.Write(reply.Bytes()); err != nil {
+		if _, err := writer.Write(reply.Bytes()); err != nil {
 			return fmt.Errorf("write reply: %w", err)
 		}
-		if err := w.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			return fmt.Errorf("write reply: %w", err)
 		}
 	}
--- a/cmd/beechgrade-sim/main_test.go
+++ b/cmd/beechgrade-sim/main_test.go
@@ -13,6 +13,7 @@
 
 const requestInput = "ASK\tfront=1\trequest_id=ab\tdue_ns=2000000000\tshard=0\tcls=0\n"
 
+// TestRun checks that a request is sent by its instance, and not by an unknown or crashed one.
 func TestRun(t *testing.T) {
 	for name, c := range map[string]struct{ in, want, not string }{
 		"sends": {provisionInput + requestInput + "COMMIT\n",
@@ -27,20 +28,21 @@
 			t.Errorf("%s: %v", name, err)
 		}
 		if !strings.Contains(out.String(), c.want) || c.not != "" && strings.Contains(out.String(), c.not) {
-			t.Errorf("%s: %q", name, out.String())
+			t.Errorf("%s: wrong output %q", name, out.String())
 		}
 	}
 }
 
 func TestMalformedInputErrorNamesItsLine(t *testing.T) {
 	var out strings.Builder
-	if err := run(strings.NewReader("SYNC\twall_ns=1\nASK\tfront\n"), &out); err == nil || !strings.Contains(err.Error(), "line 2") {
-		t.Errorf("got %v", err)
+	if err := run(strings.NewReader("SYNC\twall_ns=1\nASK\tfront\n"), &out); err == nil ||
+		!strings.Contains(err.Error(), "line 2") {
+		t.Errorf("error %v, want one that gives line 2", err)
 	}
 }
 
 func TestPanicIsReturnedAsText(t *testing.T) {
 	if _, panicText := handle(nil, 0, nil, nil); !strings.Contains(panicText, "panic") {
-		t.Errorf("panic text %q", panicText)
+		t.Errorf("panic text %q, want one that contains panic", panicText)
 	}
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -14,7 +14,7 @@
 const (
 	Requests       Family = "requests"        // ended requests by outcome [served, refused, failed, gone]
 	Attempts       Family = "attempts"        // ended attempts by result [ok, reset, ...]
-	Connections    Family = "connections"     // connections by origin [accepted, dialled]
+	Connections    Family = "connections"     // accepted connections and started dials [accepted, dialled]
 	Closed         Family = "closed"          // closed connections by owner and reason [front.idle, ...]
 	SyscallErrors  Family = "syscall_errors"  // failed system calls by call and error [accept4.EMFILE, ...]
 	States         Family = "states"          // entered states of the process [serving, draining, ...]
@@ -24,7 +24,7 @@
 
 var families = []Family{Requests, Attempts, Connections, Closed, SyscallErrors, States, DiscoveryCalls, Violations}
 
-// Set holds the counters of one pooler. Its methods may be called from any goroutine, except for Log.
+// Set holds the counters of one pooler. Its methods may be called from any goroutine; calls of Log must not overlap.
 type Set struct {
 	counters   map[Family]*expvar.Map
 	lastLogged map[Family]string // text of each family in the last line
@@ -62,7 +62,7 @@
 }
 
 // Log writes the families that are not empty as one log line, each as a JSON object, unless nothing has changed since the
-// last line. It must not be called concurrently.
+// last line.
 func (s *Set) Log(log *slog.Logger) {
 	var attrs []any
 	changed := false
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -50,7 +50,7 @@
 	return strings.Split(r.values[key], ",")
 }
 
-// maxCount limits the count of a list, so that a malformed count cannot exhaust memory.
+// maxCount limits the number of entries that a list may declare, so that a malformed count cannot exhaust memory.
 const maxCount = 10000
 
 func (r *settingsReader) count(key string) int {
@@ -65,34 +65,34 @@
 // Settings converts settings from the wire to the router's settings. It also returns the position origin: the time on the
 // clock of position 0.
 func Settings(values map[string]string) (beechgrade.Settings, time.Duration, error) {
-	r := &settingsReader{values: values}
+	reader := &settingsReader{values: values}
 	settings := beechgrade.Settings{
-		RouterCount:      int(r.duration("siblings")),
-		Zone:             int(r.duration("my_zone")),
-		Tick:             r.duration("tick_ns"),
-		OverShareFactor:  r.float("over_share_worth"),
+		RouterCount:      int(reader.duration("siblings")),
+		Zone:             int(reader.duration("my_zone")),
+		Tick:             reader.duration("tick_ns"),
+		OverShareFactor:  reader.float("over_share_worth"),
 		SubscribeList:    values["membership_mode"] == "ask",
-		LagWaitTime:      r.duration("family_info.holds_for_ns"),
+		LagWaitTime:      reader.duration("family_info.holds_for_ns"),
 		TrackCommits:     values["family_info.tokens"] == "kept",
 		ListShowsRole:    values["family_info.shows_role"] == "trailing" || values["family_info.shows_role"] == "static",
 		ListRoleUpdates:  values["family_info.shows_role"] == "trailing",
 		WeightTracksLoad: values["weights"] == "live",
-		MayCancel:        r.boolean("allowed.may_cancel"),
-		MayDuplicate:     r.boolean("allowed.may_duplicate"),
-		MayProbe:         r.boolean("allowed.probes"),
-		MaxRetryAfter:    r.duration("allowed.max_retry_after_ns"),
-		MaxAttempts:      int(r.duration("allowed.max_attempts")),
-		DrainGrace:       r.duration("invariants.drain_grace_ns"),
-		SoftRemoval:      r.boolean("invariants.soft_removal"),
-		OverloadMultiple: r.float("invariants.fall_multiple"),
-		OverloadTime:     r.duration("invariants.tip_after_ns"),
-		ColdCapacity:     r.float("invariants.cold_from"),
-		ColdDuration:     r.duration("invariants.cold_ns"),
-		CrossZoneCost:    r.float("prices.cross_zone"),
-		ProbeCost:        r.float("prices.probe"),
+		MayCancel:        reader.boolean("allowed.may_cancel"),
+		MayDuplicate:     reader.boolean("allowed.may_duplicate"),
+		MayProbe:         reader.boolean("allowed.probes"),
+		MaxRetryAfter:    reader.duration("allowed.max_retry_after_ns"),
+		MaxAttempts:      int(reader.duration("allowed.max_attempts")),
+		DrainGrace:       reader.duration("invariants.drain_grace_ns"),
+		SoftRemoval:      reader.boolean("invariants.soft_removal"),
+		OverloadMultiple: reader.float("invariants.fall_multiple"),
+		OverloadTime:     reader.duration("invariants.tip_after_ns"),
+		ColdCapacity:     reader.float("invariants.cold_from"),
+		ColdDuration:     reader.duration("invariants.cold_ns"),
+		CrossZoneCost:    reader.float("prices.cross_zone"),
+		ProbeCost:        reader.float("prices.probe"),
 		ReportsInAnswers: values["telemetry.source"] == "answers",
 	}
-	if !r.boolean("allowed.retry_after") {
+	if !reader.boolean("allowed.retry_after") {
 		settings.MaxRetryAfter = 0
 	}
 	switch values["family_info.when_behind"] {
@@ -101,15 +101,15 @@
 	case "await":
 		settings.LagPolicy = beechgrade.LagWaits
 	}
-	reads, bounds := r.list("family_info.class_read"), r.list("family_info.staleness_bound_ns")
-	for i := range r.count("request_classes.count") {
+	reads, bounds := reader.list("family_info.class_read"), reader.list("family_info.staleness_bound_ns")
+	for i := range reader.count("request_classes.count") {
 		prefix := "request_classes." + strconv.Itoa(i) + "."
 		class := beechgrade.Class{
-			LatencyTarget: r.duration(prefix + "slo_ns"),
-			Deadline:      r.duration(prefix + "deadline_ns"),
-			Value:         r.float(prefix + "points"),
-			LateFactor:    r.float(prefix + "late_worth"),
-			DedupWindow:   r.duration(prefix + "key_ttl_ns"),
+			LatencyTarget: reader.duration(prefix + "slo_ns"),
+			Deadline:      reader.duration(prefix + "deadline_ns"),
+			Value:         reader.float(prefix + "points"),
+			LateFactor:    reader.float(prefix + "late_worth"),
+			DedupWindow:   reader.duration(prefix + "key_ttl_ns"),
 		}
 		switch values[prefix+"effect"] {
 		case "retryable":
@@ -146,10 +146,10 @@
 		}
 		settings.Classes = append(settings.Classes, class)
 	}
-	for i := range r.count("tenants.count") {
+	for i := range reader.count("tenants.count") {
 		settings.Tenants = append(settings.Tenants, beechgrade.Tenant{
-			Allowance: r.float("tenants." + strconv.Itoa(i) + ".allowance_per_s"),
+			Allowance: reader.float("tenants." + strconv.Itoa(i) + ".allowance_per_s"),
 		})
 	}
-	return settings, r.duration("family_info.position_zero_ns"), r.err
+	return settings, reader.duration("family_info.position_zero_ns"), reader.err
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -15,7 +15,7 @@
 	"beechgrade"
 )
 
-// Kind says what kind of item an Item is.
+// Kind says what happens to the instance of an Item.
 type Kind uint8
 
 // The kinds.
@@ -43,8 +43,8 @@
 // listSlots is the number of numbered server lists in the protocol.
 const listSlots = 16
 
-// Decoder reads batches. It keeps the numbered server lists and the position origin of each instance, because the protocol
-// has them for the whole process and not for one router.
+// Decoder reads batches. It keeps the numbered server lists, which all instances share, and the position origin of each
+// instance. Both belong to the protocol: routers receive complete lists, and positions as times on their clock.
 type Decoder struct {
 	in              *bufio.Reader
 	line            int // number of the last line that was read
@@ -173,7 +173,7 @@
 		}
 		delete(d.positionOrigins, item.Instance)
 	case "MEMBERS":
-		l := &beechgrade.List{}
+		list := &beechgrade.List{}
 		slot, how := -1, ""
 		for fields.next() {
 			switch fields.key {
@@ -189,14 +189,14 @@
 		if !ok {
 			return fmt.Errorf("MEMBERS: unknown how %q", how)
 		}
-		l.Kind = kind
+		list.Kind = kind
 		if kind != beechgrade.ListFailed {
 			if slot < 0 || slot >= listSlots {
 				return fmt.Errorf("MEMBERS: slot %d out of range", slot)
 			}
-			l.Entries = d.lists[slot]
+			list.Entries = d.lists[slot]
 		}
-		item.Event = l
+		item.Event = list
 	case "ASK":
 		item.Instance, item.Event = decodeRequest(fields)
 	case "SETTLED":
@@ -430,7 +430,7 @@
 
 // decodeReport decodes a load report. origin is the time on the clock of position 0.
 func decodeReport(text []byte, origin time.Duration, fields *fieldReader) beechgrade.Report {
-	var r beechgrade.Report
+	var report beechgrade.Report
 	for len(text) > 0 {
 		var pair []byte
 		pair, text, _ = bytes.Cut(text, []byte{','})
@@ -442,17 +442,17 @@
 		case "x0":
 			// The position is rounded down to whole milliseconds, because the printed number may have been rounded up.
 			ms := int64(fields.parse(val) * 1000)
-			r.Position, r.HasPosition = origin+time.Duration(ms)*time.Millisecond, true
+			report.Position, report.HasPosition = origin+time.Duration(ms)*time.Millisecond, true
 		case "x1":
-			r.Role = beechgrade.RoleReplica
+			report.Role = beechgrade.RoleReplica
 			if fields.parse(val) == 1 {
-				r.Role = beechgrade.RolePrimary
+				report.Role = beechgrade.RolePrimary
 			}
 		case "busy_reqs":
-			r.InFlight, r.HasInFlight = fields.parse(val), true
+			report.InFlight, report.HasInFlight = fields.parse(val), true
 		}
 	}
-	return r
+	return report
 }
 
 // fieldReader reads the key=value fields of a line one by one, without allocating a slice for them.
@@ -485,10 +485,10 @@
 	return true
 }
 
-// fail records that the field what is malformed or missing, unless there is an earlier error.
-func (f *fieldReader) fail(what string) {
+// fail records that a field is malformed or missing, unless there is an earlier error.
+func (f *fieldReader) fail(field string) {
 	if f.err == nil {
-		f.err = fmt.Errorf("%s: bad or missing %s %q", f.name, what, f.val)
+		f.err = fmt.Errorf("%s: bad or missing %s %q", f.name, field, f.val)
 	}
 }
 
@@ -534,38 +534,38 @@
 func (r *Reply) AddFault(instance int, text string) { r.appendText("BAIL_OUT", instance, text) }
 
 // Add encodes one action of an instance.
-func (r *Reply) Add(instance int, a *beechgrade.Action) {
-	switch a.Kind {
+func (r *Reply) Add(instance int, action *beechgrade.Action) {
+	switch action.Kind {
 	case beechgrade.Send:
 		r.appendName("PASS_ON", instance)
-		r.appendString("request_id", string(a.ID))
-		r.appendString("store", string(a.Server))
-		r.appendNonZero("timeout_ns", int64(a.Wait))
+		r.appendString("request_id", string(action.ID))
+		r.appendString("store", string(action.Server))
+		r.appendNonZero("timeout_ns", int64(action.Wait))
 	case beechgrade.Cancel:
 		r.appendName("REVOKE", instance)
-		r.appendString("request_id", string(a.ID))
-		r.appendInt("try", int64(a.Attempt))
+		r.appendString("request_id", string(action.ID))
+		r.appendInt("try", int64(action.Attempt))
 	case beechgrade.Refuse:
 		r.appendName("NOT_NOW", instance)
-		r.appendString("request_id", string(a.ID))
-		r.appendNonZero("pause_ns", int64(a.Wait))
+		r.appendString("request_id", string(action.ID))
+		r.appendNonZero("pause_ns", int64(action.Wait))
 	case beechgrade.Fail:
 		r.appendName("ERROR", instance)
-		r.appendString("request_id", string(a.ID))
+		r.appendString("request_id", string(action.ID))
 	case beechgrade.Probe:
 		r.appendName("PROBE", instance)
-		r.appendString("store", string(a.Server))
+		r.appendString("store", string(action.Server))
 	case beechgrade.SetTimer:
 		r.appendName("WAKE_AT", instance)
-		r.appendInt("instant_ns", int64(a.At))
-		r.appendInt("tag", a.Tag)
+		r.appendInt("instant_ns", int64(action.At))
+		r.appendInt("tag", action.Tag)
 	case beechgrade.Subscribe:
 		r.appendName("WATCH", instance)
 		r.appendInt("enable", 1)
 	case beechgrade.FetchList:
 		r.appendName("LIST_ALL", instance)
 	case beechgrade.Log:
-		r.appendText("TRACE", instance, a.Text)
+		r.appendText("TRACE", instance, action.Text)
 		return
 	default:
 		return
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -32,21 +32,21 @@
 	"EXPIRED\tfront=3\trequest_id=ab\nTIMEOUT_FIRED\tfront=3\ttag=-77\nNOVEL\tfront=3\tx\nCRASH_NOW\tfront=3\nCOMMIT\n"
 
 func TestDecode(t *testing.T) {
-	d := NewDecoder(strings.NewReader("\n" + sampleInput))
-	b, err := d.Next()
+	decoder := NewDecoder(strings.NewReader("\n" + sampleInput))
+	batch, err := decoder.Next()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b.Now != time.Second || len(b.Items) != 11 {
-		t.Fatalf("now %v, %d items", b.Now, len(b.Items))
+	if batch.Now != time.Second || len(batch.Items) != 11 {
+		t.Fatalf("time %v, %d items; want 1 s, 11 items", batch.Now, len(batch.Items))
 	}
-	s := b.Items[0].Settings
-	if b.Items[0].Seed != 17446744073709551615 || s.RouterCount != 2 || !s.MayCancel || !s.SubscribeList ||
-		s.LagPolicy != beechgrade.LagWaits || len(s.Classes) != 2 ||
-		s.Classes[0].StalenessBound != 300 || s.Classes[0].LatencyTarget != 7 ||
-		s.Classes[1].Effect != beechgrade.Deduplicated || s.Classes[1].Scope != beechgrade.ScopeGroup ||
-		s.Classes[1].Read != beechgrade.Write || s.Tenants[0].Allowance != 1.5 {
-		t.Errorf("settings: %+v", s)
+	settings := batch.Items[0].Settings
+	if batch.Items[0].Seed != 17446744073709551615 || settings.RouterCount != 2 || !settings.MayCancel ||
+		!settings.SubscribeList || settings.LagPolicy != beechgrade.LagWaits || len(settings.Classes) != 2 ||
+		settings.Classes[0].StalenessBound != 300 || settings.Classes[0].LatencyTarget != 7 ||
+		settings.Classes[1].Effect != beechgrade.Deduplicated || settings.Classes[1].Scope != beechgrade.ScopeGroup ||
+		settings.Classes[1].Read != beechgrade.Write || settings.Tenants[0].Allowance != 1.5 {
+		t.Errorf("settings: %+v", settings)
 	}
 	origin := 500 * time.Nanosecond
 	ms := time.Millisecond
@@ -69,15 +69,15 @@
 		&beechgrade.Timer{Tag: -77},
 	}
 	for i, w := range want {
-		if got := b.Items[i+1]; got.Instance != 3 || !reflect.DeepEqual(got.Event, w) {
+		if got := batch.Items[i+1]; got.Instance != 3 || !reflect.DeepEqual(got.Event, w) {
 			t.Errorf("event %d:\n got %+v\nwant %+v", i, got.Event, w)
 		}
 	}
-	if b.Items[10].Kind != Stop {
-		t.Error("the last item is not the stop")
+	if batch.Items[10].Kind != Stop {
+		t.Error("the last item does not stop the instance")
 	}
-	if _, err := d.Next(); err != io.EOF {
-		t.Errorf("after the last batch: %v", err)
+	if _, err := decoder.Next(); err != io.EOF {
+		t.Errorf("after the last batch: error %v, want io.EOF", err)
 	}
 }
 
@@ -93,6 +93,7 @@
 	}
 }
 
+// TestMalformed checks that each kind of malformed input is an error that gives the line and the cause.
 func TestMalformed(t *testing.T) {
 	for in, want := range map[string]string{
 		"READY\n":                                  "line 1: want SYNC",
@@ -114,11 +115,12 @@
 	} {
 		_, err := NewDecoder(strings.NewReader(in)).Next()
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %q", in, err, want)
+			t.Errorf("%q: error %v, want %q", in, err, want)
 		}
 	}
 }
 
+// TestLongLine checks that a line of 3 MiB, which exceeds the decoder's read buffer, is read completely.
 func TestLongLine(t *testing.T) {
 	long := strings.Repeat("k", 3<<20)
 	b, err := NewDecoder(strings.NewReader("SYNC\twall_ns=1\nASK\tfront=1\trequest_id=" + long + "\nCOMMIT\n")).Next()
@@ -148,7 +150,7 @@
 	}
 	r.Reset()
 	if got := string(r.Bytes()); got != "READY\n" {
-		t.Errorf("after Reset: %q", got)
+		t.Errorf("reply after Reset is %q, want only READY", got)
 	}
 }
 
@@ -167,7 +169,7 @@
 			}
 			if err != nil {
 				if !strings.HasPrefix(err.Error(), "wire: line ") {
-					t.Fatalf("error without its line: %v", err)
+					t.Fatalf("the error does not give its line: %v", err)
 				}
 				return
 			}
