--- a/cmd/beechgrade-sim/main_test.go
+++ b/cmd/beechgrade-sim/main_test.go
@@ -5,12 +5,14 @@
 	"testing"
 )
 
+// provisionInput starts instance 1 with one server.
 const provisionInput = "SYNC\twall_ns=1000000000\n" +
 	"PROVISION\tfront=1\tprng=5\trequest_classes.count=1\trequest_classes.0.effect=retryable\t" +
 	"request_classes.0.slo_ns=400000000\tfamily_info.class_read=eventual\tallowed.max_attempts=3\n" +
 	"CENSUS\tslot=0\trecords=1\nENTRY\tshard=0\tavailability=SERVING\tstore=h:1\n" +
 	"MEMBERS\tfront=1\thow=restored\tslot=0\n"
 
+// requestInput is a request to instance 1.
 const requestInput = "ASK\tfront=1\trequest_id=ab\tdue_ns=2000000000\tshard=0\tcls=0\n"
 
 // TestRun checks that a request is sent by its instance, and not by an unknown or crashed one.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -18,7 +18,7 @@
 	"beechgrade/internal/slots"
 )
 
-// Errors of Submit. None of these requests reaches the router.
+// Errors of Submit. A request that ends with one of them does not reach the router.
 var (
 	ErrUnknownClass     = errors.New("no such class")
 	ErrDuplicateID      = errors.New("a request of this id is open")
@@ -69,7 +69,7 @@
 	openIDs        map[string]bool     // client IDs of the requests in the table
 	queue          []queuedEvent       // events for the router, cleared once all are handled
 	latestDeadline float64             // limit for the deadlines of new requests, in milliseconds on the loop's clock, 0 for none
-	handling       bool                // deliverAt is working through the queue
+	handling       bool                // deliverAt is processing the queue
 	actions        []beechgrade.Action // actions of the current event; the slice is reused
 	logLimit       logLimit
 	guard          *invariant.Guard
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -51,6 +51,7 @@
 	server net.Listener
 }
 
+// newTestCore starts a test core, after change has modified its configuration.
 func newTestCore(t *testing.T, change func(*config.Config)) *testCore {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/front/postgres.go
+++ b/internal/front/postgres.go
@@ -341,6 +341,7 @@
 // respond answers a command that is not a request.
 func (s *session) respond(response []byte) { s.enqueue(0).respond(response) }
 
+// respondError answers a command that is not accepted as a request with an error.
 func (s *session) respondError(code string, err error) {
 	s.respond(pgwire.AppendReady(pgwire.AppendError(s.buf[:0], "ERROR", code, err.Error(), "")))
 }
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -58,7 +58,7 @@
 	}
 	for _, rule := range []Rule{AnsweredTwice, ClosedUnanswered, AcceptedAfterShutdown, ShutdownUnanswered} {
 		if got := m.Value(metrics.Violations, string(rule)); got != 1 {
-			t.Errorf("%s counted %d times", rule, got)
+			t.Errorf("%s counted %d times, want once", rule, got)
 		}
 	}
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -43,7 +43,7 @@
 	line := []byte(strings.Repeat("x", 999) + "\n")
 	for range 3 * maxBufferedBytes / len(line) {
 		if n, err := w.Write(line); n != len(line) || err != nil {
-			t.Fatalf("wrote %d: %v", n, err)
+			t.Fatalf("Write returned %d and error %v, want the length of the line and no error", n, err)
 		}
 	}
 	close(s.unblock)
@@ -53,11 +53,11 @@
 	lines := strings.Split(s.String(), "\n")
 	if !strings.Contains(s.String(), "log lines were lost") ||
 		!strings.HasSuffix(s.String(), "last\n") && !strings.Contains(s.String(), "last\nlevel=WARN") {
-		t.Errorf("the stream ends with %q", lines[max(0, len(lines)-4):])
+		t.Errorf("the stream ends with %q, want the last line and a report of lost lines", lines[max(0, len(lines)-4):])
 	}
 	for _, got := range lines {
 		if strings.HasPrefix(got, "x") && len(got) != 999 {
-			t.Fatalf("a line of %d bytes", len(got))
+			t.Fatalf("a line of %d bytes, want 999", len(got))
 		}
 	}
 }
@@ -79,6 +79,6 @@
 	w.Flush(flushTimeout)
 	if got := s.String(); strings.Contains(got, "lost\n") || !strings.Contains(got, "kept\n") ||
 		!strings.Contains(got, "log lines were lost") {
-		t.Errorf("written: %q", got)
+		t.Errorf("the stream received %q, want the second line and a report of lost lines", got)
 	}
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -20,13 +20,13 @@
 		t.Errorf("sum %d, want 3", got)
 	}
 	if got := s.Value(Violations, "none"); got != 0 {
-		t.Errorf("an empty counter is %d", got)
+		t.Errorf("an empty counter is %d, want 0", got)
 	}
 	var out bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&out, nil))
 	s.Log(log)
 	s.Log(log)
 	if n := strings.Count(out.String(), "msg=counters"); n != 1 || !strings.Contains(out.String(), `accept4.EMFILE\": 2`) {
-		t.Errorf("logged %d lines: %s", n, &out)
+		t.Errorf("logged %d lines, want one that counts accept4.EMFILE twice: %s", n, &out)
 	}
 }
--- a/internal/pgwire/answer.go
+++ b/internal/pgwire/answer.go
@@ -122,7 +122,7 @@
 	if length < 4 || length > maxLength {
 		return fmt.Errorf("%w: type %q with length %d", ErrMalformed, input[0], length)
 	}
-	if input[0] == 'D' && len(input) >= 11 {
+	if input[0] == 'D' && len(input) >= 11 { // the type, the length, the number of columns and the length of the value
 		if size := int32(binary.BigEndian.Uint32(input[7:])); int64(max(size, 0))+10 != int64(length) || size < -1 {
 			return fmt.Errorf("%w: a value of %d bytes in a row of %d", ErrMalformed, size, length)
 		}
@@ -145,6 +145,7 @@
 	case 'N':
 		valid = validFields(message.Body)
 	case 'E':
+		// After an error in reply to a startup message, the server closes the connection without ReadyForQuery.
 		a.ErrorCode = ErrorCode(message.Body)
 		if valid = validFields(message.Body) && len(a.ErrorCode) == 5; a.phase != phaseStartup && a.phase != phaseAuth {
 			a.phase = phaseReady
@@ -178,7 +179,7 @@
 		return false
 	}
 	_, rest, ok := bytes.Cut(body[2:], []byte{0})
-	return ok && len(rest) == 18
+	return ok && len(rest) == 18 // table, attribute number, type, size, modifier and format
 }
 
 // validFields reports whether the body of an error or a notice consists of complete fields.
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -53,7 +53,7 @@
 func (r *Reader) Feed(b []byte) {
 	if r.off == len(r.buf) {
 		r.buf, r.off = r.buf[:0], 0
-	} else if r.off > 1<<12 && r.off > len(r.buf)/2 {
+	} else if r.off > 1<<12 && r.off > len(r.buf)/2 { // over 4 KiB and over half of the buffer have been returned
 		r.buf = r.buf[:copy(r.buf, r.buf[r.off:])]
 		r.off = 0
 	}
@@ -94,7 +94,7 @@
 		return StartupEncrypt, true, nil
 	case code == codeCancel:
 		return StartupCancel, true, nil
-	case code>>16 == ProtocolVersion>>16:
+	case code>>16 == ProtocolVersion>>16: // any minor version
 		return StartupPlain, true, nil
 	}
 	return 0, false, fmt.Errorf("%w: protocol version %d.%d", ErrMalformed, code>>16, code&0xffff)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -53,6 +53,7 @@
 // maxCount limits the number of entries that a list may declare, so that a malformed count cannot exhaust memory.
 const maxCount = 10000
 
+// count returns the number of entries that a list declares.
 func (r *settingsReader) count(key string) int {
 	n := int(r.duration(key))
 	if (n < 0 || n > maxCount) && r.err == nil {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -395,11 +395,13 @@
 	return nil
 }
 
+// listKinds maps the values of key how in MEMBERS.
 var listKinds = map[string]beechgrade.ListKind{
 	"update": beechgrade.ListChanges, "replace": beechgrade.ListFull,
 	"restored": beechgrade.ListRestored, "unavailable": beechgrade.ListFailed,
 }
 
+// serverStates maps the values of key availability in ENTRY.
 var serverStates = map[string]beechgrade.ServerState{
 	"SERVING": beechgrade.Serving, "DRAINING": beechgrade.Draining, "DELETED": beechgrade.Removed,
 }
@@ -524,7 +526,7 @@
 // Reply encodes the reply to one batch.
 type Reply struct{ buf []byte }
 
-// Bytes returns the reply, ended by READY. The next reply starts with Reset.
+// Bytes returns the reply, ended by READY. Reset has to be called before the next reply.
 func (r *Reply) Bytes() []byte { return append(r.buf, "READY\n"...) }
 
 // Reset empties the reply.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,6 +11,7 @@
 	"beechgrade"
 )
 
+// sampleInput is a batch with each kind of message, and with unknown messages and keys.
 const sampleInput = "SYNC\twall_ns=1000000000\n" +
 	"PROVISION\tfront=3\tprng=17446744073709551615\tallowed.may_cancel=true\tfamily_info.class_read=lag_bound,mutate\t" +
 	"family_info.position_zero_ns=500\tfamily_info.staleness_bound_ns=300,0\tfamily_info.when_behind=await\t" +
