--- a/api.go
+++ b/api.go
@@ -59,8 +59,8 @@
 type Class struct {
 	LatencyTarget  time.Duration // an answer within this time has the full value
 	Deadline       time.Duration // the client gives up after this time
-	Value          float64
-	LateFactor     float64 // part of Value that an answer between LatencyTarget and Deadline still has
+	Value          float64       // value of an answer in time, relative to the other classes
+	LateFactor     float64       // part of Value that an answer between LatencyTarget and Deadline still has
 	Effect         Effect
 	Scope          Scope
 	DedupWindow    time.Duration // repeats are dropped for this long after the first send that may have run
@@ -95,7 +95,7 @@
 	MaxRetryAfter time.Duration // longest retry delay that clients may be advised, 0 for no advice
 	MaxAttempts   int
 
-	DrainGrace       time.Duration
+	DrainGrace       time.Duration // how long sends to a draining server are tolerated; the router stops at once
 	SoftRemoval      bool          // a server missing from the list may still serve; only the state Draining forbids sends
 	OverloadMultiple float64       // a cold server must not be sent this multiple of its capacity for OverloadTime
 	OverloadTime     time.Duration // how long a cold server withstands an overload, 0 for no limit
--- a/health.go
+++ b/health.go
@@ -9,7 +9,7 @@
 // the zone may explain a failure.
 func (r *Router) recordZoneLatency(s *server, took Time) bool {
 	lastAnsweredSend := r.zoneLatencies[s.entry.Zone].lastAnsweredSend
-	if lastAnsweredSend > r.now-took { // a later send into the zone was answered, so the path is fast
+	if lastAnsweredSend > r.now-took { // a later send into the zone was answered: the server is at fault
 		return false
 	}
 	r.zoneLatencies[s.entry.Zone] = zoneLatency{
@@ -124,8 +124,9 @@
 // checkHealth marks the silent servers of a busy group down and probes the servers that are down or refused a
 // connection. It probes all members while a write or fresh read waits and no primary is usable.
 func (r *Router) checkHealth(g *group) {
-	p := r.primary(g)
-	seekPrimary := (p == nil || !p.usable()) && slices.ContainsFunc(g.waiting, (*request).primaryOnly)
+	primary := r.primary(g)
+	seekPrimary := (primary == nil || !primary.usable()) &&
+		slices.ContainsFunc(g.waiting, (*request).primaryOnly)
 	for _, s := range g.members {
 		r.advanceService(s)
 		if s.health != down && r.isSilent(s) {
@@ -155,14 +156,15 @@
 		return
 	}
 	s.probeFailures++
-	fails := s.probeFailures
+	failures := s.probeFailures
 	r.markHealthy(s)
-	s.probeFailures, s.health = fails, onTrial
+	s.probeFailures, s.health = failures, onTrial
 	s.presumeAllLost()
 }
 
-// recordLoss updates the loss rate when an attempt ends. An attempt that was cancelled or timed out early may
-// only have been slow, so it counts half.
+// recordLoss updates the loss rate when an attempt ends. A cancelled or timed-out attempt counts only if it
+// was overtaken and presumed lost. It counts half unless it received more than maxLostRatio times its work,
+// since it may only have been slow.
 func (r *Router) recordLoss(s *server, a *attempt, result Result) {
 	lost := 0.0
 	switch {
--- a/router.go
+++ b/router.go
@@ -53,8 +53,8 @@
 	// overLimitIdleShare applies where this router has nothing in flight at the server: the server also takes
 	// a request whose own time is at most this fraction of the time left until its latency target.
 	overLimitIdleShare = 0.8
-	// overLimitReadShare restricts overLimitIdleShare for reads if there are more than fewRouters routers: an
-	// average request must take at most this fraction of the smallest latency target.
+	// overLimitReadShare restricts overLimitIdleShare for reads that replicas may take if there are more than
+	// fewRouters routers: an average request must take at most this fraction of the smallest latency target.
 	overLimitReadShare = 0.5
 	// fewRouters is the number of routers up to which each one sees most of a server's load itself.
 	fewRouters = 8
@@ -71,8 +71,8 @@
 	requestRateMemory = 5 * time.Second
 	// trafficShareMemory is the memory of where a group's requests went, in rounds over its members.
 	trafficShareMemory = 4.0
-	// maxProbesPerRequest is how many servers are probed for one request. The two cheapest ones give most of
-	// the information.
+	// maxProbesPerRequest is how many servers are probed for one request before each of its attempts. The two
+	// cheapest ones give most of the information.
 	maxProbesPerRequest = 2
 	// probeWaitTicks is how long a request waits for the probes sent for it, in ticks.
 	probeWaitTicks = 4
@@ -127,7 +127,8 @@
 	// maxSubscribeDelay bounds the delay of a subscribe call, however many routers there are. The changes
 	// that a silent watch missed then arrive within 6 s.
 	maxSubscribeDelay = 5 * time.Second / 2
-	// minSubscribePause is the pause before subscribing again. Jitter of up to the same time is added.
+	// minSubscribePause is the pause before subscribing again after a subscription that lasted. Jitter of up
+	// to the same time is added.
 	minSubscribePause = 100 * time.Millisecond
 	// maxSubscribePause bounds the pause, which doubles with each subscription that ends within this time.
 	maxSubscribePause = time.Second
@@ -253,10 +254,11 @@
 }
 
 // load returns the number of requests in flight at a server: this router's, without those presumed lost, and
-// the other routers'. The last report of the others' changes gradually into an estimate, since many routers
-// that each see an idle server would overload it together. The likely load, with the full estimate, may only
-// influence the choice of a server. Requests are held back by the evident load, in which the estimate for
-// each other router is at most a fixed part of this router's own requests there.
+// the other routers'. An estimate gradually replaces the last report of the others' requests, since many
+// routers that each see an idle server would overload it together. An estimate may influence the choice of a
+// server, but must not hold requests back. The likely load therefore includes all of it, while the evident
+// load, which decides whether a server can take more, limits the estimate for each other router to a fixed
+// part of this router's own requests there.
 func (r *Router) load(s *server) (likely, evident float64) {
 	own := float64(len(s.inFlight) - s.presumedLost)
 	fresh := r.freshness(s.loadReportedAt, 2*refreshInterval)
@@ -276,8 +278,8 @@
 }
 
 // estimateOthersLoad returns an estimate of the other routers' requests in flight at a server: each has as
-// many as this one has on average. As this router's traffic share counts, a router that seldom has a request
-// in flight chooses the members in a round robin weighted by their rates.
+// many as this one has on average. A send raises the server's traffic share and with it the estimate, so a
+// router that seldom has a request in flight chooses the members in a round robin weighted by their rates.
 func (r *Router) estimateOthersLoad(s *server) float64 {
 	n := float64(r.cfg.RouterCount-1) * r.perGroup(r.requestRate) * s.trafficShare * r.meanWork /
 		r.currentRate(s)
@@ -315,9 +317,9 @@
 	return cost, shareAfter
 }
 
-// zoneLatency returns the recent latency of probes into the server's zone, in seconds. Servers behind a slow
-// path must not count as slow or down: they work well in their own zone, and a primary there still takes
-// writes.
+// zoneLatency returns the recent latency of probes and failed connections into the server's zone, in seconds.
+// Servers behind a slow path must not count as slow or down: they work well in their own zone, and a primary
+// there still takes writes.
 func (r *Router) zoneLatency(s *server) float64 {
 	return r.zoneLatencies[s.entry.Zone].latency *
 		r.freshness(r.zoneLatencies[s.entry.Zone].measuredAt, zoneLatencyMemory)
@@ -392,8 +394,9 @@
 	return s.coldWork <= depth
 }
 
-// freshEnough reports whether a server's data is known to be new enough for the request, and whether it is
-// likely to be: if its position is unknown or was not reported for long, or by the rate at which it advances.
+// freshEnough reports whether a server's data is known to be new enough for the request, and whether it may
+// be. It may be if the server's position is unknown, if more time has passed since the last report than the
+// position lagged behind then, or if the position has come far enough at the rate at which it advances.
 func (r *Router) freshEnough(s *server, q *request) (known, likely bool) {
 	minPosition := q.minPosition
 	if q.class.Read == ReadBounded {
@@ -422,49 +425,50 @@
 
 func (s *server) usable() bool { return s.allowedByList() && s.health != down }
 
-// allowedByList reports whether the server list allows its use. With soft removal, a server that is missing
-// from the list may be used unless it was draining.
+// allowedByList reports whether the server list allows requests to the server. With soft removal, a server
+// that is missing from the list may be used unless it was draining.
 func (s *server) allowedByList() bool { return !s.draining && (s.removedAt == 0 || s.softRemoval) }
 
 // chooseServer returns the server for a request, or nil if the request has to wait.
 func (r *Router) chooseServer(q *request) *server {
-	p := r.primary(q.group)
+	primary := r.primary(q.group)
 	if q.primaryOnly() {
-		if p != nil && p.usable() && r.hasCapacity(p, q) && !r.awaitsProbe(q, p) {
-			return p
+		if primary != nil && primary.usable() && r.hasCapacity(primary, q) && !r.awaitsProbe(q, primary) {
+			return primary
 		}
 		return nil
 	}
-	var best, next, bestKnown *server
+	var best, secondBest, bestKnown *server
 	leastCost, secondCost, knownCost := math.Inf(1), math.Inf(1), math.Inf(1)
 	for _, s := range q.group.members {
 		if !s.usable() || len(q.attempts) < len(q.group.members) && q.triedOn(s) || !r.hasCapacity(s, q) ||
-			s == p && !r.primaryHasSpare(s) {
+			s == primary && !r.primaryHasSpare(s) {
 			continue
 		}
 		fresh, maybeFresh := r.freshEnough(s, q)
 		if !fresh && !maybeFresh {
 			continue
 		}
-		c, _ := r.cost(s, q)
+		cost, _ := r.cost(s, q)
 		if q.class.Read == ReadAny && q.class.meanWork > longReadRatio*r.meanWork {
-			c *= 1 + fillOrderCost*r.fillOrder(s)
+			cost *= 1 + fillOrderCost*r.fillOrder(s)
 		}
-		if !fresh { // a wrong guess costs a round trip; servers that would answer stale are probed first
-			c += (2 * r.cfg.Tick).Seconds() + r.probeCost(q)
+		if !fresh {
+			// A wrong guess costs a round trip, or a probe before the send if replicas serve stale data.
+			cost += (2 * r.cfg.Tick).Seconds() + r.probeCost(q)
 		}
-		if (fresh || r.cfg.LagPolicy != LagServesStale) && c < knownCost {
-			bestKnown, knownCost = s, c
+		if (fresh || r.cfg.LagPolicy != LagServesStale) && cost < knownCost {
+			bestKnown, knownCost = s, cost
 		}
-		if c < leastCost {
-			next, secondCost, best, leastCost = best, leastCost, s, c
-		} else if c < secondCost {
-			next, secondCost = s, c
+		if cost < leastCost {
+			secondBest, secondCost, best, leastCost = best, leastCost, s, cost
+		} else if cost < secondCost {
+			secondBest, secondCost = s, cost
 		}
 	}
 	wait := best != nil && r.awaitsProbe(q, best)
-	if next != nil && secondCost <= 2*leastCost { // the second may turn out cheaper
-		wait = r.awaitsProbe(q, next) || wait
+	if secondBest != nil && secondCost <= 2*leastCost { // the second may turn out cheaper
+		wait = r.awaitsProbe(q, secondBest) || wait
 	}
 	if wait {
 		return nil
@@ -490,8 +494,8 @@
 }
 
 // awaitsProbe probes a server for a request if needed, and reports whether the request has to wait for the
-// result: because the server's position must be known, or because the expected queueing behind other
-// routers' requests there costs more than a probe.
+// result: because the server's position must be known, or because its load was not reported recently and the
+// expected queueing behind the requests there costs more than a probe.
 func (r *Router) awaitsProbe(q *request, s *server) bool {
 	fresh, _ := r.freshEnough(s, q)
 	n, _ := r.load(s)
@@ -535,7 +539,7 @@
 	if s == nil ||
 		q.possiblyRan && q.class.Effect == Deduplicated && q.class.Scope == ScopeZone &&
 			s.entry.Zone != q.possiblyRanZone {
-		return false // only the zone of the first attempt drops repeats
+		return false // only the zone of the first attempt that may have run drops repeats
 	}
 	_, shareAfter := r.cost(s, q)
 	a := &attempt{req: q, server: s, number: len(q.attempts), sentAt: r.now, serviceAtSend: s.service}
@@ -551,9 +555,9 @@
 	return true
 }
 
-// sendDeadline returns the time until which the request may be sent to the server. While it waits for a
-// connection, the server's data ages and the deduplication window runs on, so a send that is allowed now may
-// not be later.
+// sendDeadline returns the time until which the request may be sent to the server. A connection may take long
+// to open. Meanwhile the server's data ages and the deduplication window runs on, so a send that is allowed
+// now may be forbidden later.
 func (r *Router) sendDeadline(q *request, s *server) Time {
 	deadline := Time(math.MaxInt64)
 	if q.class.Read == ReadBounded && r.cfg.LagPolicy == LagServesStale && s != r.primary(q.group) {
@@ -630,7 +634,7 @@
 }
 
 // deadlineNear reports whether a request needs its final answer before the next housekeeping run. A request
-// that has not reached a server needs it after half its time.
+// that has not reached a server needs it after half its time, so that its client can try again.
 func (r *Router) deadlineNear(q *request) bool {
 	end := q.deadline
 	if !q.reachedServer && q.inFlight == 0 {
@@ -770,8 +774,8 @@
 			s.applyRate /= 2 // it lags further behind than estimated
 		}
 	case Overloaded, Unreachable, Failed, Reset:
-		// None of these proves that the server is down. It costs more for a while, and after a second failure
-		// it gets no requests for one mean service time.
+		// None of these proves that the server is down. It costs more for a while. After a rejection for load
+		// or a failed answer soon after another failure, it gets no requests for one mean service time.
 		if e.Result == Unreachable && !r.recordZoneLatency(s, r.now-a.sentAt) &&
 			r.now-a.sentAt < pauseThreshold {
 			r.recordRefusal(s)
@@ -797,7 +801,7 @@
 	}
 	if e.Result != OK && !q.finished && q.inFlight == 0 {
 		if r.deadlineNear(q) || r.attemptsExhausted(q) {
-			r.finish(q, "no further attempt allowed after "+e.Result.String())
+			r.finish(q, "no further attempt possible after "+e.Result.String())
 		} else if !slices.Contains(q.group.waiting, q) {
 			q.group.waiting = append(q.group.waiting, q)
 		}
@@ -807,7 +811,7 @@
 
 func (r *Router) onList(e *List) {
 	if e.Kind == ListFailed {
-		if r.subscribeFailures++; r.now-r.lastSubscribe >= maxSubscribePause { // it had lasted
+		if r.subscribeFailures++; r.now-r.lastSubscribe >= maxSubscribePause { // the subscription had lasted
 			r.subscribeFailures = 0
 		}
 		pause := min(maxSubscribePause, minSubscribePause<<min(r.subscribeFailures, 9))
@@ -864,7 +868,7 @@
 
 // scheduleSubscribe schedules a subscribe call after a pause and jitter. The routers spread their calls, as
 // the discovery service answers one after the other. A list that is pushed comes from an agent that serves
-// only this router, and binds as soon as the agent has it, so the delay is short then.
+// only this router, and must be obeyed as soon as the agent has it, so the delay is short then.
 func (r *Router) scheduleSubscribe(pause time.Duration) {
 	limit, spread := maxSubscribeDelay, pause+subscribeSpacing*time.Duration(r.cfg.RouterCount-1)
 	if !r.cfg.SubscribeList {
@@ -948,28 +952,28 @@
 		r.advanceService(s)
 		rate := r.warmRate(s)
 		for _, a := range s.inFlight {
-			excess := s.service - a.serviceAtSend
-			if a.overtakenBy == 0 && !a.presumedLost && !a.untimed && excess*rate > a.req.expectedWork() {
-				s.answeredService += excess - a.req.expectedWork()/rate
+			service := s.service - a.serviceAtSend
+			if a.overtakenBy == 0 && !a.presumedLost && !a.untimed && service*rate > a.req.expectedWork() {
+				s.answeredService += service - a.req.expectedWork()/rate
 			}
 		}
 		// From here on, answeredService is in units of work at the server's present rate.
 		if s.answeredService *= rate; s.answeredWork > 0 || s.answeredService > 0 {
-			k := byType[s.entry.MachineType]
-			byType[s.entry.MachineType] = [2]float64{k[0] + s.answeredWork, k[1] + s.answeredService}
+			sums := byType[s.entry.MachineType]
+			byType[s.entry.MachineType] = [2]float64{sums[0] + s.answeredWork, sums[1] + s.answeredService}
 		}
 	}
 	for _, s := range r.sortedServers {
 		if s.answeredWork > 0 || s.answeredService > 0 {
-			f := step(byType[s.entry.MachineType][0], byType[s.entry.MachineType][1])
+			typeStep := step(byType[s.entry.MachineType][0], byType[s.entry.MachineType][1])
 			s.relativeRate = min(maxRate,
-				max(1/maxRate, s.relativeRate*step(s.answeredWork, s.answeredService*f)))
+				max(1/maxRate, s.relativeRate*step(s.answeredWork, s.answeredService*typeStep)))
 		}
 		s.answeredWork, s.answeredService = 0, 0
 	}
-	for machineType, k := range byType { // the order does not matter: the types are independent
+	for machineType, sums := range byType { // the order does not matter: the types are independent
 		r.machineRates[machineType] = min(maxRate,
-			max(1/maxRate, r.machineRates[machineType]*step(k[0], k[1])))
+			max(1/maxRate, r.machineRates[machineType]*step(sums[0], sums[1])))
 	}
 	r.normalizeRates()
 	r.adjustLimits()
@@ -988,16 +992,16 @@
 // falls below its initial value, since periods in which a server is slow look like overload.
 func (r *Router) adjustLimits() {
 	for _, limit := range r.concurrencyLimits { // the order does not matter: the limits are independent
-		least, target := 0.0, 0.0
-		for i, m := range limit.latencies {
-			if m.count < minLimitSamples {
+		lowLoadLatency, target := 0.0, 0.0
+		for i, step := range limit.latencies {
+			if step.count < minLimitSamples {
 				continue
 			}
-			if least == 0 {
-				least = m.value
+			if lowLoadLatency == 0 {
+				lowLoadLatency = step.value
 			}
 			load := math.Pow(2, float64(i)/2) * r.loadPerOwnRequest()
-			if m.value > limitSlowdown*least {
+			if step.value > limitSlowdown*lowLoadLatency {
 				target = min(target, load)
 				break
 			}
--- a/state.go
+++ b/state.go
@@ -126,9 +126,9 @@
 	number        int
 	sentAt        Time
 	serviceAtSend float64 // the server's virtual service at the send
-	ownInFlight   int     // this router's requests in flight at the server, including this one
+	ownInFlight   int     // this router's requests in flight at the server at the send, including this one
 	ended         bool
-	retried       bool // a duplicate was sent or the attempt was cancelled, as the server or the attempt was lost
+	retried       bool // a duplicate was sent or the attempt cancelled, as its server was down or it was presumed lost
 	overtakenBy   int  // later attempts at the server that were answered before this one
 	presumedLost  bool // it will probably never be answered
 	untimed       bool // in flight while this router was paused, so its latency is not a measurement
@@ -215,8 +215,8 @@
 	logSum, count := 0.0, 0.0
 	logByType := map[int][2]float64{} // sum and number of the logarithms of relativeRate
 	for _, s := range r.sortedServers {
-		if k := logByType[s.entry.MachineType]; s.lastAnswer != never {
-			logByType[s.entry.MachineType] = [2]float64{k[0] + math.Log(s.relativeRate), k[1] + 1}
+		if logs := logByType[s.entry.MachineType]; s.lastAnswer != never {
+			logByType[s.entry.MachineType] = [2]float64{logs[0] + math.Log(s.relativeRate), logs[1] + 1}
 			logSum, count = logSum+math.Log(r.warmRate(s)), count+1
 		}
 	}
@@ -225,13 +225,13 @@
 		scale = 1
 	}
 	for _, s := range r.sortedServers {
-		if k := logByType[s.entry.MachineType]; s.lastAnswer != never {
-			s.relativeRate /= math.Exp(k[0] / k[1])
+		if logs := logByType[s.entry.MachineType]; s.lastAnswer != never {
+			s.relativeRate /= math.Exp(logs[0] / logs[1])
 		}
 		s.coldWork /= scale
 	}
-	for machineType, k := range logByType { // the order does not matter: the types are independent
-		r.machineRates[machineType] *= math.Exp(k[0] / k[1])
+	for machineType, logs := range logByType { // the order does not matter: the types are independent
+		r.machineRates[machineType] *= math.Exp(logs[0] / logs[1])
 	}
 	for machineType := range r.machineRates {
 		r.machineRates[machineType] /= scale
@@ -387,8 +387,8 @@
 	}
 	if report.HasPosition && report.Position > s.position && report.Position <= r.now {
 		if s.position != never && r.now-s.positionAt > 0 {
-			p := float64(report.Position-s.position) / float64(r.now-s.positionAt)
-			s.applyRate += 0.3 * (min(1, p) - s.applyRate)
+			rate := float64(report.Position-s.position) / float64(r.now-s.positionAt)
+			s.applyRate += 0.3 * (min(1, rate) - s.applyRate)
 		}
 		s.position, s.positionAt = report.Position, r.now
 	}
@@ -401,8 +401,8 @@
 	}
 }
 
-// inferLoad takes an answer as evidence of that many requests in flight at a server, and reports whether it did. It does not
-// if the known load or this router's own requests explain the answer.
+// inferLoad takes an answer as evidence of inFlight requests at a server, and reports whether it did. It does not if the known
+// load or this router's own requests explain the answer.
 func (r *Router) inferLoad(s *server, inFlight float64) bool {
 	n, _ := r.load(s)
 	if fewRouters*(len(s.inFlight)+1) >= r.cfg.RouterCount || inFlight <= n {
@@ -414,7 +414,7 @@
 
 // zoneLatency holds what was last measured of the path to a zone.
 type zoneLatency struct {
-	latency          float64 // in seconds
+	latency          float64 // average of the last measurements, in seconds
 	measuredAt       Time
 	lastAnsweredSend Time // latest send into the zone that was answered
 }
