--- a/router_test.go
+++ b/router_test.go
@@ -168,7 +168,7 @@
 		s.inFlight = append(s.inFlight, &attempt{req: highValue})
 	}
 	if got, _ := h.r.cost(s, read); math.Abs(got-(0.08/0.7347+4*4*(0.08/0.7347-0.08/0.8409))) > 2e-3 {
-		t.Errorf("cost %v: the slowdown of other requests must be weighted by their value", got)
+		t.Errorf("cost %v: want the slowdown of other requests weighted by their value", got)
 	}
 }
 
@@ -201,7 +201,7 @@
 	h := newHarness(t, testSettings(), Entry{Server: "a", MachineType: 0}, Entry{Server: "b", MachineType: 1},
 		Entry{Server: "c", MachineType: 1}, Entry{Server: "d", MachineType: 1, Group: 5})
 	if got := h.r.warmRate(h.r.servers["a"]); got != initialRate {
-		t.Errorf("rate without any answer: %v", got)
+		t.Errorf("rate without any answer: %v, want initialRate", got)
 	}
 	// In each interval, b's answers take half the service that was expected.
 	for i := range 10 {
@@ -252,8 +252,9 @@
 	}
 }
 
-// TestSendDeadline checks the deadline of a send that waits for a connection: the time until which the data
-// of a replica that serves stale reads is new enough and, for a retry, until which repeats are dropped.
+// TestSendDeadline checks the deadline of a send, which may have to wait for a connection: the time until
+// which the data of a replica that serves stale reads is new enough and, for a retry, until which repeats are
+// dropped. Without it, a send that was allowed when it was chosen could happen when it no longer is.
 func TestSendDeadline(t *testing.T) {
 	for lagPolicy, want := range map[LagPolicy]Time{
 		LagServesStale: start + 200*ms, LagRejects: math.MaxInt64, LagWaits: math.MaxInt64,
@@ -314,7 +315,7 @@
 		h.r.rememberCommit(fmt.Sprint("more", i), Report{Position: h.now, HasPosition: true})
 	}
 	if n := len(h.r.sessionCommits); n > maxSessions {
-		t.Errorf("%d sessions stored", n)
+		t.Errorf("%d sessions stored, want at most maxSessions", n)
 	}
 	if h.r.forgottenCommit != h.now {
 		t.Error("dropping sessions must raise the commit assumed for unknown sessions")
@@ -393,7 +394,7 @@
 			h := newGroupHarness(t, nil)
 			first := ofKind(Send, h.submit("1", class))
 			if len(first) != 1 {
-				t.Fatalf("not sent")
+				t.Fatalf("the first attempt was not sent")
 			}
 			h.now += 5 * ms
 			out := h.endAttempt("1", 0, first[0].Server, c.result)
@@ -429,7 +430,7 @@
 		h.now += c.after
 		out := h.endAttempt("1", 0, "p", Failed)
 		if got := len(ofKind(Send, out)) == 1; got != c.want {
-			t.Errorf("after %v: sent %v", c.after, got)
+			t.Errorf("after %v: sent %v, want the opposite", c.after, got)
 		}
 		if !c.want && len(ofKind(Fail, out)) != 1 {
 			t.Errorf("after %v: want Fail for a deduplicated request that may have run, got %+v", c.after, out)
@@ -447,7 +448,7 @@
 	h.r.markDown(h.r.servers["p"])
 	h.wantNone(Send, h.endAttempt("1", 0, "p", Failed))
 	if got := finalAnswers(h.advance(1880 * ms)); len(got) != 0 {
-		t.Fatalf("before the window ends: final answers %+v", got)
+		t.Fatalf("before the window ends: final answers %+v, want none", got)
 	}
 	if got := ofKind(Fail, h.advance(30*ms)); len(got) != 1 {
 		t.Errorf("after the window: final answers %+v, want one Fail", got)
@@ -477,7 +478,7 @@
 		h.handle(&Request{ID: "1", Class: class, Deadline: h.now + 200*ms})
 		out := h.advance(200 * ms)
 		if got := finalAnswers(out); len(got) != 1 || got[0].Kind != want {
-			t.Fatalf("class %d: final answers %+v", class, got)
+			t.Fatalf("class %d: final answers %+v, want one, Refuse for the safe class and else Fail", class, got)
 		}
 		h.wantNone(Send, h.endAttempt("1", 0, "p", TimedOut))
 		h.wantNone(Send, h.advance(time.Second))
@@ -556,7 +557,7 @@
 	}
 	for id, n := range sent {
 		if n != 1 {
-			t.Errorf("%s sent %d times", id, n)
+			t.Errorf("%s sent %d times, want once", id, n)
 		}
 	}
 }
@@ -692,10 +693,10 @@
 		mean += math.Log(h.r.warmRate(h.r.servers[s])) / 3
 	}
 	if logRatio := math.Log(h.r.warmRate(h.r.servers["new"])) - mean; math.Abs(logRatio) > 0.1 {
-		t.Errorf("the rate of a server without answers is %.3g times that of the others", math.Exp(logRatio))
+		t.Errorf("the rate of a server without answers is %.3g times that of the others, want about 1", math.Exp(logRatio))
 	}
 	if math.Abs(mean) > math.Log(2*maxMeanRate) {
-		t.Errorf("mean rate %.3g is out of bounds", math.Exp(mean))
+		t.Errorf("mean rate %.3g, want 1 to within a factor of 2*maxMeanRate", math.Exp(mean))
 	}
 }
 
@@ -787,7 +788,7 @@
 	// The second hint raises the average to 20 ms, so its request counts as 1.5 times the average work.
 	if a, b, c := h.r.requests["1"].expectedWork(), h.r.requests["2"].expectedWork(),
 		h.r.requests["3"].expectedWork(); math.Abs(a-avg)+math.Abs(b-1.5*avg)+math.Abs(c-avg) > 1e-9 {
-		t.Errorf("work %v, %v, %v with an average of %v", a, b, c, avg)
+		t.Errorf("work %v, %v, %v with an average of %v, want 1, 1.5 and 1 times that", a, b, c, avg)
 	}
 }
 
@@ -869,7 +870,7 @@
 				r.Handle(now, &List{Kind: ListFailed}, nil)
 				switch wait := r.nextSubscribe - now; {
 				case wait > maxSubscribeDelay || !subscribeList && wait > 4*minSubscribePause:
-					t.Fatalf("subscribe to list %v: %v until the next subscription", subscribeList, wait)
+					t.Fatalf("subscribe to list %v: %v until the next subscription is too long", subscribeList, wait)
 				case n > 0: // the pause has grown: only its limit is checked
 				case wait < maxSubscribeDelay/3:
 					early++
@@ -901,12 +902,12 @@
 		{ID: "past", Class: classAny, Deadline: h.now - 1},
 	} {
 		if got := finalAnswers(h.handle(q)); len(got) != 1 {
-			t.Errorf("%s: %+v", q.ID, got)
+			t.Errorf("request %s: final answers %+v, want one", q.ID, got)
 		}
 	}
 	if got := finalAnswers(h.handle(&Request{ID: "group", Class: classAny, Group: 77, Tenant: 5,
 		Deadline: h.now + time.Second})); len(got) != 1 {
-		t.Errorf("request for a group without members: final answers %+v", got)
+		t.Errorf("request for a group without members: final answers %+v, want one", got)
 	}
 	empty := newHarness(t, Settings{})
 	empty.handle(&Request{ID: "1", Deadline: empty.now + time.Second})
@@ -977,7 +978,7 @@
 	}
 	for i := range requests {
 		if n := answered[RequestID(fmt.Sprint(i))]; n != 1 {
-			t.Fatalf("request %d got %d answers", i, n)
+			t.Fatalf("request %d got %d answers, want one", i, n)
 		}
 	}
 	return h, all
@@ -1122,7 +1123,7 @@
 			}
 		}
 		if (reads == 0) != writes {
-			t.Errorf("writes %v: %d reads went to the primary", writes, reads)
+			t.Errorf("writes %v: %d reads went to the primary, want none with writes and some without", writes, reads)
 		}
 	}
 }
@@ -1202,7 +1203,7 @@
 		id := RequestID(fmt.Sprint(i))
 		sent := ofKind(Send, h.submit(id, classAny))
 		if len(sent) != 1 {
-			t.Fatalf("read %d: %+v", i, sent)
+			t.Fatalf("read %d: sends %+v, want one", i, sent)
 		}
 		reads[sent[0].Server]++
 		h.now += 80 * ms
@@ -1247,7 +1248,7 @@
 		}
 	}
 	if len(short) < 9 || long["s1"] < 150 || long["s0"] > 0 {
-		t.Errorf("long reads by server: %v, short reads: %v", long, short)
+		t.Errorf("long reads by server: %v, want at least 150 at s1 and none at s0; short reads: %v, want 9 servers", long, short)
 	}
 }
 
@@ -1280,7 +1281,7 @@
 	h.endAttempt("1", 0, sent, OK)
 	h.handle(&Timer{})
 	if s := h.r.servers[sent]; s.health != healthy || s.relativeRate < rate {
-		t.Errorf("health %v, relative rate %v, before the pause %v", s.health, s.relativeRate, rate)
+		t.Errorf("health %v, relative rate %v, want healthy and at least %v", s.health, s.relativeRate, rate)
 	}
 }
 
@@ -1324,7 +1325,7 @@
 	h.now += 250 * ms
 	h.wantSend(h.endAttempt("write", 0, "p", Unreachable), "write", "p")
 	if s := h.r.servers["p"]; s.health != healthy || s.coldSince != never {
-		t.Errorf("health %v, cold since %v", s.health, s.coldSince)
+		t.Errorf("health %v, cold since %v, want healthy and never", s.health, s.coldSince)
 	}
 	h.now += 2 * ms
 	h.endAttempt("write", 1, "p", Unreachable)
@@ -1376,7 +1377,7 @@
 	sent := ofKind(Send, h.submit("1", classAny))
 	for i := range 3 {
 		if len(sent) != 1 || seen[sent[0].Server] {
-			t.Fatalf("attempt %d: sends %+v, tried before: %v", i, sent, seen)
+			t.Fatalf("attempt %d: sends %+v, want one to a server not in %v", i, sent, seen)
 		}
 		seen[sent[0].Server] = true
 		h.now += 5 * ms
@@ -1444,7 +1445,7 @@
 	for i := range 2 {
 		sent := ofKind(Send, out)
 		if len(sent) != 1 {
-			t.Fatalf("attempt %d: sends %+v", i, sent)
+			t.Fatalf("attempt %d: sends %+v, want one", i, sent)
 		}
 		h.now += 5 * ms
 		out = h.handle(&Outcome{ID: "1", Attempt: i, Server: sent[0].Server, Result: Misdirected,
@@ -1477,7 +1478,7 @@
 			{Server: "s1", State: Draining}, {Server: "s1", State: Removed}, {Server: "s1"}}})
 		h.advance(removedRetention + 3*time.Second)
 		if len(h.r.requests) != 0 || h.r.inFlight > 500 {
-			t.Errorf("%d routers: %d requests and %d attempts left", routerCount, len(h.r.requests), h.r.inFlight)
+			t.Errorf("%d routers: %d requests and %d attempts left, want 0 and at most 500", routerCount, len(h.r.requests), h.r.inFlight)
 		}
 		if h.r.servers["s1"] == nil || !h.r.servers["s1"].allowedByList() {
 			t.Error("a server that drained, was removed and came back is not usable")
@@ -1495,7 +1496,7 @@
 	out := h.endAttempt("1", 0, "p", Unreachable)
 	h.wantSend(out, "1", "p")
 	if got := ofKind(Probe, out); len(got) != 1 || got[0].Server != "p" || h.r.servers["p"].health != healthy {
-		t.Errorf("probes %+v, health %v", got, h.r.servers["p"].health)
+		t.Errorf("probes %+v, health %v, want one probe of p, which stays healthy", got, h.r.servers["p"].health)
 	}
 	for range 2 {
 		h.now += 5 * ms
@@ -1517,7 +1518,7 @@
 	for _, broken := range []Event{&ProbeResult{Server: "p", Result: Reset}, &ProbeResult{Server: "p", Result: Unreachable}} {
 		h.handle(broken)
 		if s.health != healthy {
-			t.Fatalf("after a single %+v: health %v", broken, s.health)
+			t.Fatalf("after a single %+v: health %v, want healthy", broken, s.health)
 		}
 		if got := ofKind(Probe, h.advance(2*housekeepingInterval)); len(got) != 1 || got[0].Server != "p" {
 			t.Fatalf("probes %+v, want one of p", got)
@@ -1528,14 +1529,14 @@
 		h.handle(&ProbeResult{Server: "p", Result: Reset})
 	}
 	if s.health != down {
-		t.Fatalf("after two broken connections: health %v", s.health)
+		t.Fatalf("after two broken connections: health %v, want down", s.health)
 	}
 	h.now += restartOutage
 	h.endAttempt("held", 0, "p", OK) // it answers, so it was up all the time
 	h.now += 10 * ms
 	h.answerProbe("p", RolePrimary, h.now)
 	if s.health == down || h.r.capacityFraction(s) < 1 {
-		t.Errorf("health %v, capacity fraction %v", s.health, h.r.capacityFraction(s))
+		t.Errorf("health %v, capacity fraction %v, want not down and 1", s.health, h.r.capacityFraction(s))
 	}
 }
 
@@ -1570,7 +1571,7 @@
 		h.r.probe(s, 0)
 		h.handle(&ProbeResult{Server: "p", Result: Failed})
 		if s.health != before || s.probing {
-			t.Errorf("health %v became %v, probe pending: %v", before, s.health, s.probing)
+			t.Errorf("health %v became %v, probe pending: %v, want no change and none pending", before, s.health, s.probing)
 		}
 		h.now += time.Second
 	}
@@ -1596,7 +1597,7 @@
 		h.submit(RequestID(fmt.Sprint("a", h.now)), classAny)
 	}
 	if len(h.r.groups) != groups || len(h.r.sortedGroups) != groups || h.r.servers["x"] != nil {
-		t.Errorf("%d groups, %d before; server x: %v", len(h.r.groups), groups, h.r.servers["x"])
+		t.Errorf("%d groups, want %d; server x: %v, want none", len(h.r.groups), groups, h.r.servers["x"])
 	}
 }
 
--- a/state.go
+++ b/state.go
@@ -60,7 +60,7 @@
 	subscribeFailures int // subscriptions in a row that ended within maxSubscribePause
 }
 
-// health is the router's opinion of a server.
+// health is a server's health as judged by this router.
 type health uint8
 
 const (
