--- a/router.go
+++ b/router.go
@@ -395,8 +395,9 @@
 }
 
 // freshEnough reports whether a server's data is known to be new enough for the request, and whether it may
-// be. It may be if the server's position is unknown, if more time has passed since the last report than the
-// position lagged behind then, or if the position has come far enough at the rate at which it advances.
+// be. It may be if the server's position is unknown, if more time has passed since its last report than the
+// position lagged behind then (and at least primarySearchInterval), or if the position has come far enough at
+// the rate at which it advances.
 func (r *Router) freshEnough(s *server, q *request) (known, likely bool) {
 	minPosition := q.minPosition
 	if q.class.Read == ReadBounded {
