--- a/health.go
+++ b/health.go
@@ -9,7 +9,7 @@
 // the zone may explain a failure.
 func (r *Router) recordZoneLatency(s *server, took Time) bool {
 	lastAnsweredSend := r.zoneLatencies[s.entry.Zone].lastAnsweredSend
-	if lastAnsweredSend > r.now-took { // a later send into the zone was answered: the server is at fault
+	if lastAnsweredSend > r.now-took { // a later send into the zone was answered, so a delay is the server's
 		return false
 	}
 	r.zoneLatencies[s.entry.Zone] = zoneLatency{
--- a/router_test.go
+++ b/router_test.go
@@ -1248,7 +1248,7 @@
 		}
 	}
 	if len(short) < 9 || long["s1"] < 150 || long["s0"] > 0 {
-		t.Errorf("long reads by server: %v, want at least 150 at s1 and none at s0; short reads: %v, want 9 servers", long, short)
+		t.Errorf("long reads by server: %v, want at least 150 at s1 and none at s0; short reads: %v, want 9 or more", long, short)
 	}
 }
 
