--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -65,8 +65,8 @@
 
 const lifecycleUp, lifecycleDraining, lifecycleRemoved = "up", "draining", "removed"
 
-// changesSince returns the instances that have changed since a generation, and the channel that is closed when watches have to
-// look again.
+// changesSince returns the instances that have changed since a generation, and a channel that is closed at the next change or
+// when watches are to end.
 func (d *Discovery) changesSince(generation int64) (l discovery.List, notify chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -14,9 +14,9 @@
 const (
 	// FaultPause stops a pooler's process for up to 0.15 s.
 	FaultPause FaultKind = "stand"
-	// FaultRestart is a planned restart of a pooler, with a series of signals.
+	// FaultRestart is a planned restart of a pooler by SIGTERM, which further signals may follow.
 	FaultRestart FaultKind = "restart"
-	// FaultHungDrain is a planned restart of a pooler during which all servers hang.
+	// FaultHungDrain is a planned restart of a pooler while all servers hang, for up to 4 s.
 	FaultHungDrain FaultKind = "hung_drain"
 	// FaultCrash kills a pooler without warning.
 	FaultCrash FaultKind = "crash"
@@ -42,7 +42,7 @@
 	FaultDiscoveryDown FaultKind = "directory"
 	// FaultSilentWatches leaves all watches open, but sends nothing more on them.
 	FaultSilentWatches FaultKind = "silence"
-	// FaultIdleClients takes up a pooler's file descriptors by idle clients.
+	// FaultIdleClients makes idle clients use up a pooler's file descriptors.
 	FaultIdleClients FaultKind = "crowd"
 	// FaultBurst makes the clients send requests without a pause.
 	FaultBurst FaultKind = "burst"
--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -30,13 +30,13 @@
 	RuleOverlap Rule = "overlap"
 	// RuleExcessTimeout is broken if the time-out sent to a server exceeds the time that the client has left.
 	RuleExcessTimeout Rule = "told"
-	// RuleAfterDisconnect is broken if an attempt begins after its client has disconnected.
+	// RuleAfterDisconnect is broken if an attempt begins more than disconnectGrace after the request's client disconnected.
 	RuleAfterDisconnect Rule = "gone"
 	// RuleAfterAnswer is broken if an attempt begins after its request was answered.
 	RuleAfterAnswer Rule = "over"
-	// RuleDrain is broken if an attempt begins at a server that is known to drain.
+	// RuleDrain is broken if an attempt begins at a server more than drainGrace after its drain counts as known.
 	RuleDrain Rule = "drain"
-	// RuleCrash is broken if a pooler exits without SIGTERM, or with an error.
+	// RuleCrash is broken if a pooler exits without having been sent SIGTERM or SIGKILL, or with an error after SIGTERM.
 	RuleCrash Rule = "crash"
 	// RuleReady is broken if a restarted pooler is not ready within readyTimeout.
 	RuleReady Rule = "ready"
@@ -48,17 +48,17 @@
 
 // Limits and tolerances of the rules.
 const (
-	// answerGrace is how long after its deadline an answer may still arrive. Until then a late answer is worthless, but it
-	// breaks no rule.
+	// answerGrace is how long after its deadline an answer may still arrive. Within that time a late answer is worthless, but
+	// it breaks no rule.
 	answerGrace = 500 * time.Millisecond
-	// disconnectGrace is how long after its client has disconnected an attempt may still begin.
+	// disconnectGrace is how long attempts may still begin after the request's client has disconnected.
 	disconnectGrace = 100 * time.Millisecond
 	// timeoutGrace is how much the time-out sent to a server may exceed the time that the client has left.
 	timeoutGrace = 150 * time.Millisecond
 	// drainGrace is how long attempts may still begin at a server after its drain counts as known.
 	drainGrace = 2 * time.Second
-	// propagationTime is the time after which a change in discovery counts as known to every pooler. It begins at the change,
-	// or when discovery can be reached again.
+	// propagationTime is the time after which a change in discovery counts as known to every pooler. It runs from the change,
+	// or from the moment at which discovery can be reached again if that is later.
 	propagationTime = 6 * time.Second
 	// timingTolerance covers the inaccuracy of this process's own time measurements.
 	timingTolerance = 60 * time.Millisecond
@@ -129,8 +129,8 @@
 	executed bool      // whether the server ran it instead of rejecting it
 }
 
-// interval is a period in which a pooler is impaired: its system calls fail, it has no free descriptors, or its process is
-// paused.
+// interval is a period in which a pooler is impaired: its system calls fail, it lacks file descriptors, or strace may pause its
+// process.
 type interval struct{ from, to time.Time }
 
 // Ledger records the requests, attempts and violations of one run. Its methods may be called from any goroutine.
--- a/internal/emulator/process.go
+++ b/internal/emulator/process.go
@@ -299,7 +299,7 @@
 const straceAttachTime = 300 * time.Millisecond
 
 // injectError makes a system call of the process fail with an error for the duration d: each time, or the first few times, as
-// strace's parameter when says.
+// the parameter "when" of strace's injection specifies.
 func (p *Process) injectError(call, errno, when string, d time.Duration) {
 	pid := p.pid()
 	if pid == 0 {
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -16,7 +16,7 @@
 	Attempts   int               `json:"attempts"`
 	Faults     map[FaultKind]int `json:"faults"`
 	Starts     int               `json:"starts"`              // number of pooler processes started
-	NoStrace   bool              `json:"no_strace,omitempty"` // strace is not installed, so that no system call was made to fail
+	NoStrace   bool              `json:"no_strace,omitempty"` // true if no system call was made to fail, for lack of strace
 	Violations []Violation       `json:"violations"`
 }
 
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -152,7 +152,8 @@
 	})
 }
 
-// checkDrain checks that the pooler could not yet know that the server drains.
+// checkDrain checks that the attempt did not arrive more than drainGrace after the time at which the server's drain counts as
+// known.
 func (s *Server) checkDrain(a *Attempt) {
 	s.mu.Lock()
 	drainKnownAt := s.drainKnownAt
