--- a/cmd/beechgrade/lifecycle.go
+++ b/cmd/beechgrade/lifecycle.go
@@ -5,25 +5,26 @@
 	"beechgrade/internal/metrics"
 )
 
-// state is where the process stands between its start and its end.
+// state is a stage in the life of the process.
 type state int
 
-// The states, in their order.
+// The states, in the order in which the process enters them.
 const (
-	starting state = iota // nobody is served yet
+	starting state = iota // does not serve yet
 	serving
-	draining // told to end: clients are served as before
-	closing  // clients' connections are closed as they fall idle; what is owed is answered
+	draining // received a signal to stop; serves clients as before
+	closing  // closes clients' connections as they become idle, and still answers requests
 	ended
 )
 
 var stateNames = [...]string{starting: "starting", serving: "serving", draining: "draining", closing: "closing", ended: "ended"}
 
-// String is the state's name.
+// String returns the name of the state.
 func (s state) String() string { return stateNames[s] }
 
-// enter is the one place where the state changes. It only goes forward.
-func (p *pooler) enter(next state) {
+// setState enters the next state. It does nothing if the process is in that state or a later one. Only setState changes the
+// state.
+func (p *pooler) setState(next state) {
 	if next <= p.state {
 		return
 	}
@@ -33,81 +34,90 @@
 	p.state = next
 }
 
-// Times of a drain in milliseconds, from the signal or from the longest deadline on. The process may be killed 700 ms after that.
+// Times of a drain, in milliseconds. The process may be killed once the longest deadline of all request classes and 700 ms
+// have passed since the signal.
 const (
-	minDrainMs     = 700   // after the signal new clients still come
-	longestMs      = 3000  // counted as the longest deadline where that is longer
-	closeClientsMs = 250   // after the longest deadline, clients' idle connections are closed
-	lastAnswerMs   = 500   // after the longest deadline, all that came meanwhile has its answer
-	drainPollMs    = 20    // between looks at whether something is still owed
-	maxDrainMs     = 10000 // after the signal: a client that never goes does not keep the process
+	// minDrainMs is the time after the signal for which new clients may still connect.
+	minDrainMs = 700
+	// maxLongestDeadlineMs is the limit up to which the longest deadline counts.
+	maxLongestDeadlineMs = 3000
+	// closeClientsAfterMs is the time after the longest deadline at which idle connections of clients are closed.
+	closeClientsAfterMs = 250
+	// answerAllAfterMs is the time after the longest deadline by which all requests received during the drain are answered.
+	answerAllAfterMs = 500
+	// drainCheckIntervalMs is the time between two checks whether the process can end.
+	drainCheckIntervalMs = 20
+	// maxDrainMs is the time after the signal at which the process ends even if a client has not closed its connection.
+	maxDrainMs = 10000
 )
 
-// drain ends the service. No new connections come after a while, as the clients' side hears of the restart, but
-// those that there are stay in use for as long as they stay open: nobody else may be there to take their requests.
-// So they are closed late, just soon enough to answer all before the process may be killed.
+// drain is a graceful shutdown. New clients stop connecting after a while, when they learn of the restart. Existing
+// connections stay in use for as long as they are open, because there may be no other pooler for their requests. They are
+// therefore closed late, just early enough to answer all requests before the process may be killed.
 type drain struct {
-	pooler     *pooler
-	began      float64
-	closeAt    float64 // when clients' connections are closed
-	unlistened bool    // nobody can connect any more
+	pooler           *pooler
+	startMs          float64
+	closeClientsAtMs float64 // when idle connections of clients are closed
+	listenerClosed   bool    // no client can connect any more
 }
 
-// beginDrain begins the end of the service.
+// beginDrain starts a graceful shutdown.
 func (p *pooler) beginDrain() {
-	longest := 0.0
+	longestDeadlineMs := 0.0
 	for _, c := range p.cfg.Settings.Classes {
-		longest = max(longest, clock.Milliseconds(c.Deadline))
+		longestDeadlineMs = max(longestDeadlineMs, clock.Milliseconds(c.Deadline))
 	}
-	longest = min(longest, longestMs)
-	d := &drain{pooler: p, began: p.loop.Now()}
-	d.closeAt = d.began + longest + closeClientsMs
-	p.enter(draining)
-	p.core.SetLatestDeadline(d.began + longest + lastAnswerMs)
-	p.loop.At(d.closeAt, func() {
-		p.enter(closing)
+	longestDeadlineMs = min(longestDeadlineMs, maxLongestDeadlineMs)
+	d := &drain{pooler: p, startMs: p.loop.Now()}
+	d.closeClientsAtMs = d.startMs + longestDeadlineMs + closeClientsAfterMs
+	p.setState(draining)
+	p.core.SetLatestDeadline(d.startMs + longestDeadlineMs + answerAllAfterMs)
+	p.loop.At(d.closeClientsAtMs, func() {
+		p.setState(closing)
 		p.front.Drain()
 	})
-	d.look()
+	d.check()
 }
 
-// look ends the process once nothing is owed, and looks again a little later otherwise.
-func (d *drain) look() {
+// check ends the process if nothing is pending, and otherwise schedules the next check.
+func (d *drain) check() {
 	p, now := d.pooler, d.pooler.loop.Now()
-	over := now >= d.began+maxDrainMs
-	if !over && d.needed(now) {
-		p.loop.At(now+drainPollMs, d.look)
+	timedOut := now >= d.startMs+maxDrainMs
+	if !timedOut && d.processNeeded(now) {
+		p.loop.At(now+drainCheckIntervalMs, d.check)
 		return
 	}
-	// Clients that came in the last moment are served like any others; later ones find nobody and go elsewhere.
-	if !over && !d.unlistened {
-		d.unlistened = p.loop.StopListening()
-		p.loop.At(now+drainPollMs, d.look)
+	// Closing the listener accepts the clients that wait in its queue, and they are served like any others. Later clients are
+	// refused and can connect to another pooler.
+	if !timedOut && !d.listenerClosed {
+		d.listenerClosed = p.loop.StopListening()
+		p.loop.At(now+drainCheckIntervalMs, d.check)
 		return
 	}
 	d.finish(now)
 }
 
-// needed tells whether the process is needed: clients may still come or ask, or somebody is owed something.
-func (d *drain) needed(now float64) bool {
-	mayCome := now < d.began+minDrainMs
-	mayAsk := now < d.closeAt+drainPollMs && d.pooler.front.SessionCount() > 0
-	return mayCome || mayAsk || d.pooler.busy()
+// processNeeded reports whether the process must continue: clients may still connect or send requests, or work is pending.
+func (d *drain) processNeeded(now float64) bool {
+	mayConnect := now < d.startMs+minDrainMs
+	maySendRequest := now < d.closeClientsAtMs+drainCheckIntervalMs && d.pooler.front.SessionCount() > 0
+	return mayConnect || maySendRequest || d.pooler.hasPendingWork()
 }
 
 // finish ends the service and the loop.
 func (d *drain) finish(now float64) {
 	p := d.pooler
-	p.enter(ended)
+	p.setState(ended)
 	p.unanswered = p.front.PendingRequests()
 	p.core.Guard().CheckShutdown(p.unanswered)
-	p.log.Info("drained", "ms", now-d.began, "unanswered", p.unanswered)
+	p.log.Info("drained", "ms", now-d.startMs, "unanswered", p.unanswered)
 	p.loop.Metrics().Log(p.log)
 	p.front.CloseAll()
 	p.loop.Shutdown()
 }
 
-// busy tells whether anybody is owed anything, or may be: clients that could not be accepted yet may have asked.
-func (p *pooler) busy() bool {
+// hasPendingWork reports whether a client waits for an answer, or may do so: a client that could not be accepted yet may have
+// sent a request already.
+func (p *pooler) hasPendingWork() bool {
 	return p.core.OpenRequests() > 0 || p.front.HasPendingWork() || p.loop.AcceptPaused()
 }
--- a/cmd/beechgrade/main.go
+++ b/cmd/beechgrade/main.go
@@ -1,4 +1,4 @@
-// Command beechgrade is a pooler before groups of PostgreSQL-speaking servers.
+// Command beechgrade is a connection pooler for groups of servers that speak the PostgreSQL protocol.
 package main
 
 import (
@@ -19,8 +19,8 @@
 )
 
 const (
-	startFor = 5 * time.Second        // how long a configuration that cannot be read is tried at the start
-	flushFor = 200 * time.Millisecond // how long the end waits for the log's stream
+	startupLoadTimeout = 5 * time.Second        // limit for retries while the configuration cannot be read at startup
+	logFlushTimeout    = 200 * time.Millisecond // limit for writing the remaining log lines at exit
 )
 
 func main() {
@@ -31,18 +31,18 @@
 }
 
 func command() *cli.Command {
-	verbose := &cli.BoolFlag{Name: "verbose", Aliases: []string{"v"}, Usage: "log what is of use only when looking for a fault"}
+	verbose := &cli.BoolFlag{Name: "verbose", Aliases: []string{"v"}, Usage: "log debug messages"}
 	return &cli.Command{
 		Name:           "beechgrade",
-		Usage:          "a pooler before groups of PostgreSQL-speaking servers",
+		Usage:          "a connection pooler for groups of servers that speak the PostgreSQL protocol",
 		DefaultCommand: "serve",
 		Flags:          []cli.Flag{verbose},
 		Commands: []*cli.Command{
 			{
 				Name:  "serve",
-				Usage: "serve clients until SIGTERM; what it needs to know is in $EDGE_CONFIG",
+				Usage: "serve clients until SIGTERM, with the configuration file that EDGE_CONFIG names",
 				Action: func(_ context.Context, c *cli.Command) error {
-					if c.Args().Present() { // serve is the default: a mistyped command must not start it
+					if c.Args().Present() { // serve is the default command: a mistyped command must not run it
 						return fmt.Errorf("unknown command or argument %q; see --help", c.Args().First())
 					}
 					return serve(c.Bool("verbose"))
@@ -50,7 +50,7 @@
 			},
 			{
 				Name:  "check",
-				Usage: "read the configuration and tell what is in it",
+				Usage: "read the configuration and print a summary",
 				Action: func(_ context.Context, c *cli.Command) error {
 					cfg, err := config.Load(os.Getenv)
 					if err != nil {
@@ -83,13 +83,15 @@
 }
 
 func serve(verbose bool) error {
-	// Each has a channel of its own: a signal that finds its channel full is dropped, and one of the same kind will do.
+	// Notify drops a signal if the channel is full. With a separate channel for each purpose that is harmless, because the
+	// signal in the channel has the same effect.
 	stop, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(reload, syscall.SIGHUP)
-	// A log line on a stream whose reader has gone would end the process: Go passes on SIGPIPE for descriptors 1 and 2.
+	// By default, a Go process ends on SIGPIPE from descriptor 1 or 2, so a log line would end it once the log's reader has gone.
 	signal.Ignore(syscall.SIGPIPE)
-	cfg, err := loadPatiently(func() (*config.Config, error) { return config.Load(os.Getenv) }, startFor, func(error) {})
+	cfg, err := loadWithRetry(func() (*config.Config, error) { return config.Load(os.Getenv) }, startupLoadTimeout,
+		func(error) {})
 	if err != nil {
 		return err
 	}
@@ -98,18 +100,20 @@
 		level = slog.LevelDebug
 	}
 	lines := logging.NewWriter(os.Stderr)
-	defer lines.Flush(flushFor)
+	defer lines.Flush(logFlushTimeout)
 	log := slog.New(slog.NewTextHandler(lines, &slog.HandlerOptions{Level: level})).With("pooler", cfg.Name)
-	// The loop sits in a system call while it waits. With one processor, Go hands that on to timers and
-	// dials only after its monitor has looked, up to 10 ms later; with two, at once.
+	// The event loop blocks in a system call while it waits. With one processor, the Go runtime runs other goroutines, such as
+	// those for timers and dials, only once its monitor thread has taken the processor away, up to 10 ms later. With two
+	// processors they run at once.
 	runtime.GOMAXPROCS(max(2, runtime.GOMAXPROCS(0)))
-	limitMemory(cfg)
+	setMemoryLimit(cfg)
 	p := newPooler(cfg, log)
-	p.load = func() (*config.Config, error) { return config.Reload(os.Getenv) }
+	p.loadConfig = func() (*config.Config, error) { return config.Reload(os.Getenv) }
 	return p.run(stop, reload)
 }
 
-// limitMemory leaves the runtime a part of what the machine has; the rest is for stacks and what the limit does not see.
-func limitMemory(cfg *config.Config) {
+// setMemoryLimit sets the Go runtime's memory limit to 60% of the configured memory. The rest is for stacks and for memory
+// that the limit does not cover.
+func setMemoryLimit(cfg *config.Config) {
 	debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB) << 20 * 6 / 10)
 }
--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -18,53 +18,64 @@
 )
 
 const (
-	reserved  = 64   // descriptors for discovery, the listener, the poller and the runtime
-	poolMost  = 0.45 // of the others, at most for connections to servers...
-	poolLeast = 0.2  // ...and what clients leave to them
-	askPart   = 4    // clients that ask and hold 1 descriptor in so many are many
-	idlePart  = 0.8  // of the servers' idle time, after which a connection is closed here
+	// reservedDescriptors is the number of descriptors for discovery, the listener, the poller and the Go runtime.
+	reservedDescriptors = 64
+	// maxServerConnShare is the largest share of the other descriptors that connections to servers may use.
+	maxServerConnShare = 0.45
+	// minServerConnShare is the share of the other descriptors that clients must leave to connections to servers.
+	minServerConnShare = 0.2
+	// activeClientDivisor determines the limit of active clients, above which idle ones are closed: the configured number of
+	// descriptors divided by it.
+	activeClientDivisor = 4
+	// idleTimeoutFactor is the fraction of the servers' idle time-out after which the pooler closes an idle connection.
+	idleTimeoutFactor = 0.8
 )
 
-// pooler is the program's parts, joined.
+// pooler connects the components of the program.
 type pooler struct {
-	cfg   *config.Config
-	log   *slog.Logger
-	loop  *loop.Loop
-	core  *core.Core
-	front *front.Postgres
-	pool  *backend.Pool
-	dir   *discovery.Client
-	load  func() (*config.Config, error) // reads the configuration again
-	state state
+	cfg        *config.Config
+	log        *slog.Logger
+	loop       *loop.Loop
+	core       *core.Core
+	front      *front.Postgres
+	pool       *backend.Pool
+	discovery  *discovery.Client
+	loadConfig func() (*config.Config, error) // reads the configuration again after SIGHUP
+	state      state
 
-	descriptors int // that the system lets the process have, as of its start
-	unanswered  int // requests at the end of the process
+	descriptorLimit int // maximum number of descriptors of the process, as of its start
+	unanswered      int // requests without an answer when the process ended
 }
 
 func newPooler(cfg *config.Config, log *slog.Logger) *pooler {
-	p := &pooler{cfg: cfg, log: log, descriptors: descriptorLimit()}
+	p := &pooler{cfg: cfg, log: log, descriptorLimit: descriptorLimit()}
 	p.loop = loop.New(clock.System(), log, func() loop.Handler { return p.front.NewHandler() }, p.start)
 	p.core = core.New(p.loop, log, cfg)
-	sockets := func() int { return min(p.cfg.Limits.Sockets, p.descriptors) - reserved }
-	part := func(x float64) int { return int(x * float64(sockets())) }
-	memory := func() int { return p.cfg.Limits.MemoryMB << 20 }
+	usableDescriptors := func() int { return min(p.cfg.Limits.Sockets, p.descriptorLimit) - reservedDescriptors }
+	shareOfDescriptors := func(x float64) int { return int(x * float64(usableDescriptors())) }
+	memoryBytes := func() int { return p.cfg.Limits.MemoryMB << 20 }
 	p.pool = backend.New(p.loop, log, backend.Options{User: "backend", Database: "store",
 		Roles: [2]string{"primary", "replica"}, PositionParameter: "applied_ms",
 		ReportFields: cfg.ReportFields, ConnectTimeoutMs: cfg.ConnectTimeoutMs,
-		IdleTimeoutMs: cfg.IdleTimeoutMs * idlePart, MemoryBytes: memory,
-		MaxConns: func() int { return min(part(poolMost), sockets()-p.front.SessionCount()) }}, p.core)
-	spare := func() int {
-		return sockets() - p.front.SessionCount() - max(part(poolLeast), p.pool.ConnCount())
+		IdleTimeoutMs: cfg.IdleTimeoutMs * idleTimeoutFactor, MemoryBytes: memoryBytes,
+		MaxConns: func() int {
+			return min(shareOfDescriptors(maxServerConnShare), usableDescriptors()-p.front.SessionCount())
+		}}, p.core)
+	spareDescriptors := func() int {
+		return usableDescriptors() - p.front.SessionCount() - max(shareOfDescriptors(minServerConnShare), p.pool.ConnCount())
 	}
-	p.front = front.NewPostgres(p.loop, log, p.core, p.core.Guard(), front.Budget{SpareDescriptors: spare,
-		ActiveClientLimit:   func() int { return p.cfg.Limits.Sockets / askPart },
-		CloseIdleServerConn: func() bool { return p.pool.ConnCount() > part(poolLeast) && p.pool.CloseOldestIdle() },
-		MemoryBytes:         memory, MaxRetryAfterMs: clock.Milliseconds(cfg.Settings.MaxRetryAfter)})
+	p.front = front.NewPostgres(p.loop, log, p.core, p.core.Guard(), front.Budget{SpareDescriptors: spareDescriptors,
+		ActiveClientLimit: func() int { return p.cfg.Limits.Sockets / activeClientDivisor },
+		CloseIdleServerConn: func() bool {
+			return p.pool.ConnCount() > shareOfDescriptors(minServerConnShare) && p.pool.CloseOldestIdle()
+		},
+		MemoryBytes: memoryBytes, MaxRetryAfterMs: clock.Milliseconds(cfg.Settings.MaxRetryAfter)})
 	p.loop.OnDescriptorsExhausted = func() bool { return p.front.FreeDescriptor() || p.pool.CloseOldestIdle() }
 	return p
 }
 
-// descriptorLimit is how many descriptors the system lets the process have, which may be fewer than the configuration says.
+// descriptorLimit returns the maximum number of descriptors that the system allows the process, which may be lower than the
+// configured number.
 func descriptorLimit() int {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
@@ -73,27 +84,28 @@
 	return int(min(limit.Cur, math.MaxInt32))
 }
 
-// countersMs is the time between two lines with the counters.
-const countersMs = 10000
+// countersIntervalMs is the time between two log lines with the counters, in milliseconds.
+const countersIntervalMs = 10000
 
-// logCounters logs the counters now and from time to time.
+// logCounters logs the counters now and then every countersIntervalMs.
 func (p *pooler) logCounters() {
 	p.loop.Metrics().Log(p.log)
-	p.loop.At(p.loop.Now()+countersMs, p.logCounters)
+	p.loop.At(p.loop.Now()+countersIntervalMs, p.logCounters)
 }
 
-// start runs on the loop before anything else.
+// start starts the components. It runs on the loop before anything else.
 func (p *pooler) start() {
-	p.dir = discovery.New(p.loop, p.log, p.cfg.Discovery, p.cfg.LastKnownList.Generation, p.core)
-	p.core.Start(p.pool, p.dir)
+	p.discovery = discovery.New(p.loop, p.log, p.cfg.Discovery, p.cfg.LastKnownList.Generation, p.core)
+	p.core.Start(p.pool, p.discovery)
 	p.front.StartSweeps()
 	p.logCounters()
-	p.enter(serving)
+	p.setState(serving)
 	p.log.Info("serving", "listen", p.loop.Addr(), "servers", len(p.cfg.LastKnownList.Instances),
 		"siblings", p.cfg.Settings.RouterCount, "max_retry_after", p.cfg.Settings.MaxRetryAfter)
 }
 
-// run serves until a signal to stop comes and nothing is owed any more; one to reload changes the configuration.
+// run serves until it receives a signal on stop and the drain that this begins has ended. A signal on reload makes it read the
+// configuration again.
 func (p *pooler) run(stop, reload <-chan os.Signal) error {
 	go func() {
 		<-stop
@@ -112,14 +124,14 @@
 	return nil
 }
 
-// apply takes a new configuration, as far as that goes while serving.
+// apply applies those values of a new configuration that can change while the pooler serves.
 func (p *pooler) apply(next *config.Config) {
 	changed, kept := p.cfg.Apply(next)
 	p.log.Info("configuration read again", "changed", changed)
 	if len(kept) > 0 {
 		p.log.Warn("cannot change while serving, needs a restart", "kept", kept)
 	}
-	limitMemory(p.cfg)
-	p.pool.SetTimeouts(p.cfg.ConnectTimeoutMs, p.cfg.IdleTimeoutMs*idlePart)
-	p.dir.SetAddress(p.cfg.Discovery)
+	setMemoryLimit(p.cfg)
+	p.pool.SetTimeouts(p.cfg.ConnectTimeoutMs, p.cfg.IdleTimeoutMs*idleTimeoutFactor)
+	p.discovery.SetAddress(p.cfg.Discovery)
 }
--- a/cmd/beechgrade/process_test.go
+++ b/cmd/beechgrade/process_test.go
@@ -16,8 +16,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// program builds the program once for all tests that run it as a process of its own.
-var program = sync.OnceValues(func() (string, error) {
+// buildProgram builds the program once for all tests that run it as a separate process, and returns its path.
+var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "beechgrade")
 	if err != nil {
 		return "", err
@@ -29,18 +29,18 @@
 	return path, nil
 })
 
-// process is the program in a process of its own, with one server behind it.
+// process is the program in a separate process, with one scripted server.
 type process struct {
 	t      *testing.T
 	cmd    *exec.Cmd
-	config string // path of its configuration
+	config string // path of the configuration file
 	addr   string
 	log    *logBuffer
 	exited chan struct{}
-	err    error // of Wait, once exited is closed
+	err    error // result of Wait, valid once exited is closed
 }
 
-// logBuffer collects what a process writes.
+// logBuffer is a buffer for the output of a process. It is safe for concurrent use.
 type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -60,19 +60,19 @@
 
 var servingAt = regexp.MustCompile(`msg=serving .*listen=(\S+)`)
 
-// startProcess runs the program before one server and waits until it serves.
-func startProcess(t *testing.T, server string, change ...func(*process)) *process {
+// startProcess runs the program with one server and waits until it serves. The options are applied before it starts.
+func startProcess(t *testing.T, server string, options ...func(*process)) *process {
 	t.Helper()
-	path, err := program()
+	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := &process{t: t, cmd: exec.Command(path, "serve"), log: &logBuffer{}, exited: make(chan struct{})}
 	p.config = filepath.Join(t.TempDir(), "config.json")
-	p.configure(server, listen(t).Addr().String()) // a discovery that never answers
+	p.writeConfig(server, listen(t).Addr().String()) // the discovery server never answers
 	p.cmd.Env = append(os.Environ(), "EDGE_CONFIG="+p.config)
 	p.cmd.Stdout, p.cmd.Stderr = p.log, p.log
-	for _, f := range change {
+	for _, f := range options {
 		f(p)
 	}
 	if err := p.cmd.Start(); err != nil {
@@ -86,25 +86,26 @@
 		_ = p.cmd.Process.Kill()
 		<-p.exited
 	})
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		if m := servingAt.FindStringSubmatch(p.log.String()); m != nil {
 			p.addr = m[1]
 			return p
 		}
 	}
-	t.Fatalf("it does not serve: %s", p.log)
+	t.Fatalf("the process does not serve; its log:\n%s", p.log)
 	return nil
 }
 
-// configure writes a configuration with one server, the primary of its group, and two classes, read and write.
-func (p *process) configure(server, discovery string) {
+// writeConfig writes the configuration that configJSON returns to the configuration file.
+func (p *process) writeConfig(server, discovery string) {
 	p.t.Helper()
-	if err := os.WriteFile(p.config, configuration(p.t, server, discovery), 0o600); err != nil {
+	if err := os.WriteFile(p.config, configJSON(p.t, server, discovery), 0o600); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-func configuration(t *testing.T, server, discovery string) []byte {
+// configJSON returns a configuration with one server, the primary of its group, and two classes, read and write.
+func configJSON(t *testing.T, server, discovery string) []byte {
 	t.Helper()
 	b, err := os.ReadFile("../../example/config.json")
 	if err != nil {
@@ -131,7 +132,7 @@
 	return b
 }
 
-// signal sends signals, in order.
+// signal sends the signals to the process, in order.
 func (p *process) signal(signals ...syscall.Signal) {
 	p.t.Helper()
 	for _, s := range signals {
@@ -141,31 +142,32 @@
 	}
 }
 
-// ends waits for the process's end and wants status 0.
-func (p *process) ends() {
+// wantCleanExit waits until the process exits and fails the test unless its status is 0.
+func (p *process) wantCleanExit() {
 	p.t.Helper()
 	select {
 	case <-p.exited:
 		if p.err != nil {
-			p.t.Errorf("it ended with %v; its log:\n%s", p.err, p.log)
+			p.t.Errorf("the process ended with %v; its log:\n%s", p.err, p.log)
 		}
-	case <-time.After(patience):
-		p.t.Errorf("it does not end; its log:\n%s", p.log)
+	case <-time.After(testTimeout):
+		p.t.Errorf("the process does not end; its log:\n%s", p.log)
 	}
 }
 
-// alive fails the test if the process has ended.
-func (p *process) alive() {
+// wantRunning fails the test if the process has ended.
+func (p *process) wantRunning() {
 	p.t.Helper()
 	select {
 	case <-p.exited:
-		p.t.Fatalf("the process ended by itself: %s; its log:\n%s", p.cmd.ProcessState, p.log)
+		p.t.Fatalf("the process has ended unexpectedly: %s; its log:\n%s", p.cmd.ProcessState, p.log)
 	default:
 	}
 }
 
-// lowestFree is the lowest number of a descriptor that the process does not hold: a limit of that leaves it none.
-func (p *process) lowestFree() uint64 {
+// lowestFreeDescriptor returns the lowest descriptor number that the process does not use. If it is set as the limit, the
+// process cannot open any further descriptor.
+func (p *process) lowestFreeDescriptor() uint64 {
 	for n := uint64(0); ; n++ {
 		if _, err := os.Lstat(fmt.Sprintf("/proc/%d/fd/%d", p.cmd.Process.Pid, n)); err != nil {
 			return n
@@ -173,7 +175,7 @@
 	}
 }
 
-// limitDescriptors sets the process's soft limit on descriptors and returns the one before.
+// limitDescriptors sets the soft limit on descriptors of the process and returns the previous limit.
 func (p *process) limitDescriptors(limit uint64) (before uint64) {
 	p.t.Helper()
 	var old unix.Rlimit
@@ -186,28 +188,28 @@
 	return old.Cur
 }
 
-// encryptionRequest is a client's first message that is answered with one byte.
-var encryptionRequest = []byte{0, 0, 0, 8, 4, 210, 22, 47}
+// sslRequest is the message with which a client requests encryption. The pooler answers it with one byte.
+var sslRequest = []byte{0, 0, 0, 8, 4, 210, 22, 47}
 
-// TestAcceptOutOfDescriptors: the process is at its limit of descriptors for a moment while a client connects, so that accept
-// fails with EMFILE. The process stays, the request that is open has its answer, and the client that came meanwhile is served
+// TestAcceptOutOfDescriptors tests that accept failing with EMFILE does not end the process. It sets the descriptor limit to
+// the number in use for a moment while a client connects. The open request must be answered, and the new client must be served
 // once there are descriptors again.
 func TestAcceptOutOfDescriptors(t *testing.T) {
-	addr, queries := server(t)
+	addr, queries := startServer(t)
 	p := startProcess(t, addr)
-	c := client(t, p.addr)
+	c := connect(t, p.addr)
 	c.send(query("1", "write", 19000))
-	held := next(t, queries)
-	before := p.limitDescriptors(p.lowestFree())
-	late := dial(t, p.addr)
-	late.send(encryptionRequest)
-	time.Sleep(200 * time.Millisecond) // for as long as descriptors are short
-	p.alive()
+	pending := nextQuery(t, queries)
+	before := p.limitDescriptors(p.lowestFreeDescriptor())
+	newClient := dial(t, p.addr)
+	newClient.send(sslRequest)
+	time.Sleep(200 * time.Millisecond) // the time for which there is no descriptor
+	p.wantRunning()
 	p.limitDescriptors(before)
-	if b, _ := late.in.ReadByte(); b != 'N' {
-		t.Errorf("the client that came meanwhile was told %q", b)
+	if b, _ := newClient.in.ReadByte(); b != 'N' {
+		t.Errorf("the client that connected without free descriptors received %q", b)
 	}
-	held.send(row("v"))
-	c.want("TDCZ v")
-	p.alive()
+	pending.send(row("v"))
+	c.wantAnswer("TDCZ v")
+	p.wantRunning()
 }
--- a/cmd/beechgrade/reload.go
+++ b/cmd/beechgrade/reload.go
@@ -8,33 +8,34 @@
 )
 
 const (
-	reloadFor   = 10 * time.Second      // how long a new configuration that cannot be read is tried
-	reloadPause = 50 * time.Millisecond // between tries
+	reloadTimeout     = 10 * time.Second      // limit for retries while a new configuration cannot be read
+	loadRetryInterval = 50 * time.Millisecond // time between two retries
 )
 
-// loadPatiently reads a configuration. One that cannot be read now, because a system call fails or the file is only half written, is
-// tried again for a while; failed is told of the first failure. One that can be read and not used is an error at once.
-func loadPatiently(load func() (*config.Config, error), most time.Duration, failed func(error)) (*config.Config, error) {
-	for tries, end := 0, time.Now().Add(most); ; tries++ {
+// loadWithRetry reads a configuration. If a system call fails or the file is not completely written, it retries until the
+// timeout, and calls onFirstFailure once. It returns any other error, such as an invalid value, at once.
+func loadWithRetry(load func() (*config.Config, error), timeout time.Duration,
+	onFirstFailure func(error)) (*config.Config, error) {
+	for attempts, deadline := 0, time.Now().Add(timeout); ; attempts++ {
 		cfg, err := load()
-		if err == nil || !config.IsTransient(err) || time.Now().After(end) {
+		if err == nil || !config.IsTransient(err) || time.Now().After(deadline) {
 			return cfg, err
 		}
-		if tries == 0 {
-			failed(err)
+		if attempts == 0 {
+			onFirstFailure(err)
 		}
-		time.Sleep(reloadPause)
+		time.Sleep(loadRetryInterval)
 	}
 }
 
-// reload takes over the configuration each time that it is told to. Tells that come meanwhile are answered by one more reading.
-func (p *pooler) reload(told <-chan os.Signal) {
-	for range told {
-		next, err := loadPatiently(p.load, reloadFor, func(err error) {
-			p.log.Warn("configuration cannot be read now, and is tried again", "err", err)
+// reload reads and applies the configuration after each signal. Signals that arrive while it does so cause one more reload.
+func (p *pooler) reload(signals <-chan os.Signal) {
+	for range signals {
+		next, err := loadWithRetry(p.loadConfig, reloadTimeout, func(err error) {
+			p.log.Warn("configuration cannot be read; retrying", "err", err)
 		})
 		if err != nil {
-			p.log.Error("configuration not taken; the old one stays", "err", err)
+			p.log.Error("configuration not taken; the previous one stays in effect", "err", err)
 			continue
 		}
 		p.loop.Post(func() { p.apply(next) })
--- a/cmd/beechgrade/syscalls_test.go
+++ b/cmd/beechgrade/syscalls_test.go
@@ -13,28 +13,30 @@
 	"time"
 )
 
-// faultSpan is how long a system call fails where it fails for a while.
-const faultSpan = 2 * time.Second
+// faultDuration is the time for which a system call fails in the tests of lasting failures.
+const faultDuration = 2 * time.Second
 
-// inject has system calls fail in the process while during runs: those that when names, in strace's form.
-func (p *process) inject(call, errno, when string, during func()) {
+// injectFault runs during while system calls of the process fail. The string when selects the calls that fail, as "when" of
+// strace's option -e inject.
+func (p *process) injectFault(call, errno, when string, during func()) {
 	p.t.Helper()
 	trace := filepath.Join(p.t.TempDir(), "trace")
 	cmd := exec.Command("strace", "-f", "-o", trace, "-p", fmt.Sprint(p.cmd.Process.Pid),
 		"-e", "trace="+call, "-e", "inject="+call+":error="+errno+":when="+when)
-	says := &logBuffer{}
-	cmd.Stderr = says
+	straceOutput := &logBuffer{}
+	cmd.Stderr = straceOutput
 	if err := cmd.Start(); err != nil {
 		p.t.Fatal(err)
 	}
-	for end := time.Now().Add(patience); !strings.Contains(says.String(), "attached"); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			p.t.Fatalf("strace does not attach: %s", says)
+	for deadline := time.Now().Add(testTimeout); !strings.Contains(straceOutput.String(), "attached"); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			p.t.Fatalf("strace does not attach to the process: %s", straceOutput)
 		}
 	}
 	during()
-	if _, most, bounded := strings.Cut(when, ".."); bounded { // to let go of a call that is made to fail would leave ENOSYS
-		p.awaitInjected(trace, most)
+	// If strace detached during an injected call, the call would return ENOSYS.
+	if _, maxFailures, bounded := strings.Cut(when, ".."); bounded {
+		p.waitForInjected(trace, maxFailures)
 	}
 	_ = cmd.Process.Signal(syscall.SIGTERM)
 	_ = cmd.Wait()
@@ -42,13 +44,14 @@
 	p.t.Logf("%d calls failed", strings.Count(string(b), "(INJECTED)"))
 }
 
-// awaitInjected waits until so many calls have failed, or for as long as a fault lasts where the process makes no more of them.
-func (p *process) awaitInjected(trace, most string) {
-	want, err := strconv.Atoi(most)
+// waitForInjected waits until the given number of calls have failed. If the process makes fewer calls, it returns after
+// faultDuration.
+func (p *process) waitForInjected(trace, count string) {
+	want, err := strconv.Atoi(count)
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	for end := time.Now().Add(faultSpan); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(faultDuration); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		b, _ := os.ReadFile(trace)
 		if strings.Count(string(b), "(INJECTED)") >= want {
 			return
@@ -56,8 +59,9 @@
 	}
 }
 
-// transient lists the system calls of a pooler that serves, with the errors that Linux documents for them and that pass.
-var transient = []struct {
+// transientErrors lists the system calls that a pooler makes while it serves, with the transient errors that Linux documents
+// for them.
+var transientErrors = []struct {
 	call   string
 	errnos []string
 }{
@@ -76,13 +80,14 @@
 	{"shutdown", []string{"ENOBUFS"}},
 }
 
-// TestTransientSystemCalls: a system call fails for a moment, or for two seconds. The process stays. A write that is open at its
-// server is answered, runs once, and so is a read on another connection that stands; a client that comes meanwhile is served.
+// TestTransientSystemCalls tests that the process survives a system call that fails once, twice, or for faultDuration. A write
+// that is in flight must run once and be answered, a read on another existing connection must be answered, and a client that
+// connects during the failure must be served.
 func TestTransientSystemCalls(t *testing.T) {
 	if _, err := exec.LookPath("strace"); err != nil {
-		t.Fatal("strace is needed: ", err)
+		t.Fatal("this test needs strace: ", err)
 	}
-	for _, f := range transient {
+	for _, f := range transientErrors {
 		for _, errno := range f.errnos {
 			for name, when := range map[string]string{"once": "1", "twice": "1..2", "while": "1+"} {
 				if name == "while" && testing.Short() {
@@ -91,88 +96,89 @@
 				call, _, _ := strings.Cut(f.call, ",")
 				t.Run(call+"/"+errno+"/"+name, func(t *testing.T) {
 					t.Parallel()
-					outlast(t, f.call, errno, when)
+					testFault(t, f.call, errno, when)
 				})
 			}
 		}
 	}
 }
 
-// TestBothPollersInterrupted: the waits of the loop and of Go's runtime are interrupted some 200 times on end. The number is
-// bounded and awaited, as a strace that lets go of a call that it has fail leaves ENOSYS, which Linux never answers, and on which the
-// runtime ends the process.
+// TestBothPollersInterrupted tests that the process survives up to 200 consecutive interruptions of the polls of the event
+// loop and of the Go runtime. The number is limited, and the test waits for the last one: if strace detaches during an
+// injected call, the call returns ENOSYS, which Linux itself never returns here, and the Go runtime ends the process.
 func TestBothPollersInterrupted(t *testing.T) {
 	for _, when := range []string{"1", "1..2", "1..200"} {
 		t.Run(when, func(t *testing.T) {
 			t.Parallel()
-			outlast(t, "epoll_wait,epoll_pwait", "EINTR", when)
+			testFault(t, "epoll_wait,epoll_pwait", "EINTR", when)
 		})
 	}
 }
 
-// outlast has one fault pass over a pooler that owes two answers and is asked by a third client.
-func outlast(t *testing.T, call, errno, when string) {
-	addr, queries := server(t)
+// testFault injects one fault into a pooler while a write is in flight, a read is sent and a third client connects.
+func testFault(t *testing.T, call, errno, when string) {
+	addr, queries := startServer(t)
 	p := startProcess(t, addr)
-	answered := make(chan []string, 1)
-	held := make(chan asked, 1)
-	go func() { // the server answers every read at once and keeps the write
-		var seen []string
+	receivedWrites := make(chan []string, 1)
+	pending := make(chan receivedQuery, 1)
+	go func() { // the server answers every read at once and delays the write
+		var writes []string
 		for q := range queries {
 			switch {
 			case strings.Contains(q.sql, "id=held,"):
-				seen = append(seen, "held")
-				held <- q
+				writes = append(writes, "held")
+				pending <- q
 			case strings.Contains(q.sql, "id=over,"):
-				answered <- seen
+				receivedWrites <- writes
 				return
 			case q.sql != "(gone)":
 				q.send(row("w"))
 			}
 		}
 	}()
-	writer, standing := client(t, p.addr), client(t, p.addr)
+	writer, reader := connect(t, p.addr), connect(t, p.addr)
 	writer.send(query("held", "write", 19000))
-	open := <-held
-	var late *peer
-	p.inject(call, errno, when, func() {
-		began := time.Now()
-		standing.send(query("2", "read", 9000))
-		late = dial(t, p.addr)
-		late.send(encryptionRequest)
+	pendingQuery := <-pending
+	var newClient *peer
+	p.injectFault(call, errno, when, func() {
+		startedAt := time.Now()
+		reader.send(query("2", "read", 9000))
+		newClient = dial(t, p.addr)
+		newClient.send(sslRequest)
 		if when == "1+" {
-			time.Sleep(faultSpan - time.Since(began))
+			time.Sleep(faultDuration - time.Since(startedAt))
 			return
 		}
-		if b, _ := late.in.ReadByte(); b != 'N' {
-			t.Errorf("the client that came meanwhile was told %q", b)
+		if b, _ := newClient.in.ReadByte(); b != 'N' {
+			t.Errorf("the client that connected during the fault received %q", b)
 		}
-		standing.wantFinal("TDCZ w")
+		reader.wantAnswerOrRefusal("TDCZ w")
 	})
 	if when == "1+" {
-		if b, _ := late.in.ReadByte(); b != 'N' {
-			t.Errorf("the client that came meanwhile was told %q", b)
+		if b, _ := newClient.in.ReadByte(); b != 'N' {
+			t.Errorf("the client that connected during the fault received %q", b)
 		}
-		standing.wantFinal("TDCZ w")
+		reader.wantAnswerOrRefusal("TDCZ w")
 	}
-	open.send(row("v"))
-	writer.want("TDCZ v")
-	p.alive()
+	pendingQuery.send(row("v"))
+	writer.wantAnswer("TDCZ v")
+	p.wantRunning()
 	writer.send(query("over", "write", 9000))
 	select {
-	case seen := <-answered:
-		if !slices.Equal(seen, []string{"held"}) {
-			t.Errorf("the write ran as %q", seen)
+	case writes := <-receivedWrites:
+		if !slices.Equal(writes, []string{"held"}) {
+			t.Errorf("the server received the writes %q", writes)
 		}
-	case <-time.After(patience):
-		t.Error("the last write never came to the server")
+	case <-time.After(testTimeout):
+		t.Error("the server did not receive the last write")
 	}
 }
 
-// wantFinal accepts a refusal beside the answer: no server may be within reach while calls fail, and that is harmless.
-func (p *peer) wantFinal(answer string) {
+// wantAnswerOrRefusal fails the test unless the peer receives the given answer or a refusal. A refusal is correct if no server
+// can be reached while system calls fail, and it is harmless.
+func (p *peer) wantAnswerOrRefusal(answer string) {
 	p.t.Helper()
-	if got := p.answer(); got != answer && got != "EZ 53300" {
+	if got := p.readAnswer(); got != answer && got != "EZ 53300" {
 		p.t.Errorf("got %q, want %q or a refusal", got, answer)
 	}
 }
