--- a/api.go
+++ b/api.go
@@ -17,7 +17,7 @@
 	RequestID string
 )
 
-// Effect says what repeating a request may do.
+// Effect specifies whether a request may be repeated.
 type Effect uint8
 
 const (
@@ -26,7 +26,7 @@
 	Unsafe                     // must never run twice
 )
 
-// Scope says which servers drop the repeats of a deduplicated request.
+// Scope specifies which servers drop the repeats of a deduplicated request.
 type Scope uint8
 
 const (
@@ -35,7 +35,7 @@
 	ScopeGroup
 )
 
-// ReadKind says which members of its group may take a request.
+// ReadKind specifies which members of its group may run a request.
 type ReadKind uint8
 
 const (
@@ -46,7 +46,7 @@
 	Write                       // the primary
 )
 
-// LagPolicy says what a replica does with a read when its data is older than the read allows.
+// LagPolicy specifies what a replica does with a read when its data is older than the read allows.
 type LagPolicy uint8
 
 const (
@@ -58,7 +58,7 @@
 // Class describes one class of requests.
 type Class struct {
 	LatencyTarget  time.Duration // an answer within this time has the full value
-	Deadline       time.Duration // the client gives up after this time
+	Deadline       time.Duration // the client abandons the request after this time
 	Value          float64       // value of an answer in time, relative to the other classes
 	LateFactor     float64       // part of Value that an answer between LatencyTarget and Deadline still has
 	Effect         Effect
@@ -115,14 +115,14 @@
 	Class       int
 	Group       int
 	Tenant      int
-	Deadline    Time // the client gives up this request at this time
+	Deadline    Time // the client abandons the request at this time
 	Session     string
 	SinceCommit time.Duration // for session reads: time since the session's last commit, 0 for none
 	Work        time.Duration // expected work on a standard core, 0 if unknown
 	Retry       bool          // the client has sent this request before
 }
 
-// Result says how an attempt or probe ended.
+// Result is the way in which an attempt or probe ended.
 type Result uint8
 
 const (
@@ -130,10 +130,10 @@
 	Failed             // the server answered with an error; it may have had an effect
 	Overloaded         // rejected by the server before it was read: too much load
 	TimedOut           // no answer in time
-	Unreachable        // no connection: never sent
+	Unreachable        // no connection, or one that broke before the attempt was sent: it cannot have run
 	Reset              // the connection dropped with the attempt in flight
 	Cancelled          // cancelled by the router
-	Skipped            // never sent: the request was over
+	Skipped            // not sent, with no evidence against the server: for example, the request has ended or is past SendDeadline
 	Misdirected        // rejected without running: the server is not the primary, or its data is too old
 )
 
@@ -159,7 +159,8 @@
 )
 
 // Report is what a server reported about itself. Position is a time on the router's clock up to which it has
-// applied every commit. HasPosition and HasInFlight say which fields were reported.
+// applied every commit. HasPosition and HasInFlight report whether the server reported
+// these fields.
 type Report struct {
 	Role        Role
 	Position    Time
@@ -179,7 +180,7 @@
 	LoadReport Report // load report that came with the answer, taken some time before it
 }
 
-// Abandoned reports that a request is over because its client has gone.
+// Abandoned reports that a request has ended because its client no longer waits for the answer.
 type Abandoned struct{ ID RequestID }
 
 // ProbeResult reports the result of a probe.
@@ -189,13 +190,13 @@
 	Report Report
 }
 
-// ListKind says what a List event holds.
+// ListKind is the kind of the entries in a List event.
 type ListKind uint8
 
 const (
 	ListChanges  ListKind = iota // changed entries only
 	ListFull                     // all entries; a server that is missing has been removed
-	ListRestored                 // all entries as last seen, perhaps out of date
+	ListRestored                 // all entries as last known, perhaps out of date
 	ListFailed                   // a call for the list failed; the previous list stays valid
 )
 
@@ -236,13 +237,13 @@
 func (*List) event()        {}
 func (*Timer) event()       {}
 
-// ActionKind says what an Action requests.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 const (
-	Send      ActionKind = iota // start the next attempt of ID at Server with time-out Wait, unless SendDeadline passes first
+	Send      ActionKind = iota // start the next attempt of ID at Server, unless SendDeadline passes before it is sent
 	Cancel                      // stop waiting for attempt Attempt of ID
-	Refuse                      // final answer: trying again is harmless, best after Wait
+	Refuse                      // final answer: a retry is harmless, best after Wait
 	Fail                        // final answer: the request may have had an effect
 	Probe                       // probe Server
 	SetTimer                    // deliver a Timer event with Tag at time At
@@ -257,9 +258,9 @@
 	ID           RequestID
 	Attempt      int
 	Server       ServerID
-	Wait         time.Duration
+	Wait         time.Duration // for Send: time-out of the attempt, 0 for the request's deadline; for Refuse: retry delay to advise, 0 for none
 	At           Time
-	SendDeadline Time // an attempt that still waits for a connection at this time ends as Skipped
+	SendDeadline Time // for Send: an attempt that is not sent before this time ends as Skipped
 	Tag          int64
 	Text         string // message of a Log, reason of a Refuse or Fail
 }
--- a/health.go
+++ b/health.go
@@ -7,14 +7,14 @@
 
 // recordZoneLatency records how long a probe or failed connection took, and reports whether a slow path to
 // the zone may explain a failure.
-func (r *Router) recordZoneLatency(s *server, took Time) bool {
+func (r *Router) recordZoneLatency(s *server, latency Time) bool {
 	lastAnsweredSend := r.zoneLatencies[s.entry.Zone].lastAnsweredSend
-	if lastAnsweredSend > r.now-took { // a later send into the zone was answered, so a delay is the server's
+	if lastAnsweredSend > r.now-latency { // a later send into the zone was answered, so the server is slow
 		return false
 	}
 	r.zoneLatencies[s.entry.Zone] = zoneLatency{
-		(r.zoneLatency(s) + took.Seconds()) / 2, r.now, lastAnsweredSend}
-	return s.entry.Zone != r.cfg.Zone && took >= pauseThreshold
+		(r.zoneLatency(s) + latency.Seconds()) / 2, r.now, lastAnsweredSend}
+	return s.entry.Zone != r.cfg.Zone && latency >= pauseThreshold
 }
 
 // failureChance returns the chance that a server answers a request with a failure, estimated from its last
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -14,7 +14,7 @@
 	Number  int
 }
 
-// Outcome says how an attempt or probe ended, and what its answer said about the server.
+// Outcome is the end of an attempt or probe, with what its answer reported about the server.
 type Outcome struct {
 	Result      beechgrade.Result
 	Answer      []byte // if Result is OK: the messages of the row, valid during the call
@@ -38,13 +38,14 @@
 	conn         *conn
 	timeoutTimer *deadline.Timer
 	connectTimer *deadline.Timer // limits the wait for a connection
-	atMostOnce   bool            // the request must not run twice
+	atMostOnce   bool            // the request must not take effect twice
 }
 
 // StartAttempt starts an attempt that times out at timeoutAt and is not sent at sendDeadline or later. If atMostOnce is
 // true, it is not sent on a connection that has probably expired while it was idle.
-func (p *Pool) StartAttempt(serverID string, q Query, timeoutAt, sendDeadline float64, atMostOnce bool, id AttemptID) slots.Ref {
-	a := &attempt{attemptID: id, serverID: serverID, query: q, timeoutAt: timeoutAt, sendDeadline: sendDeadline,
+func (p *Pool) StartAttempt(serverID string, query Query, timeoutAt, sendDeadline float64, atMostOnce bool,
+	id AttemptID) slots.Ref {
+	a := &attempt{attemptID: id, serverID: serverID, query: query, timeoutAt: timeoutAt, sendDeadline: sendDeadline,
 		startedAt: p.loop.Now(), atMostOnce: atMostOnce, server: p.servers[serverID]}
 	a.ref = p.attempts.Put(a)
 	p.start(a)
@@ -81,7 +82,7 @@
 	}
 	a.timeoutTimer = p.loop.At(a.timeoutAt, func() { p.abort(a, beechgrade.TimedOut) })
 	a.connectTimer = p.loop.At(min(a.sendDeadline, p.loop.Now()+p.opt.ConnectTimeoutMs), func() {
-		if s.dialing == 0 || p.expired(a) { // a lack of descriptors or of time says nothing about the server
+		if s.dialing == 0 || p.expired(a) { // a lack of descriptors or of time is no evidence against the server
 			p.abort(a, beechgrade.Skipped)
 			return
 		}
@@ -90,7 +91,7 @@
 	for len(s.idle) > 0 {
 		c := s.idle[len(s.idle)-1]
 		// The server may have closed the connection without the loop having read the end of the stream yet. A request
-		// written now would end in a reset, and one that must not run twice could not be retried.
+		// written now would end in a reset, and one that must not take effect twice could not be retried.
 		if !c.loopConn.NoPendingInput() {
 			c.loopConn.Close(closeUnexpectedInput)
 			continue
@@ -109,15 +110,15 @@
 
 // send sends an attempt on a free connection, unless the attempt may no longer be sent. It reports whether it was sent.
 func (p *Pool) send(c *conn, a *attempt) bool {
-	timeoutMs, ok := 0, true
+	timeLimitMs, ok := 0, true
 	if a.query != nil {
-		timeoutMs, ok = p.events.BeforeSend(a.attemptID, a.timeoutAt)
+		timeLimitMs, ok = p.events.BeforeSend(a.attemptID, a.timeoutAt)
 	}
 	if !ok {
 		p.abort(a, beechgrade.Skipped)
 		return false
 	}
-	c.writeQuery(a, timeoutMs)
+	c.writeQuery(a, timeLimitMs)
 	return true
 }
 
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -43,7 +43,7 @@
 	state         state
 	input         pgwire.Reader
 	attempt       *attempt
-	queryBuffered bool            // the whole query was passed to loopConn, which may still hold a part
+	queryBuffered bool            // the complete query was passed to loopConn, which may still buffer a part
 	idleSeq       uint64          // orders idle connections by the time at which they became idle
 	idleSince     float64         // when the connection last became ready for a query
 	writtenAt     float64         // when the current query was written
@@ -73,8 +73,8 @@
 	}
 }
 
-// connectFailedLocally removes a connection that failed for lack of resources on this machine. That says nothing about the
-// server, so waiting attempts keep waiting, for another dial or for a connection that becomes free.
+// connectFailedLocally removes a connection that failed for lack of resources on this machine. That is no evidence against
+// the server, so waiting attempts keep waiting, for another dial or for a connection that becomes free.
 func (c *conn) connectFailedLocally() {
 	p, s := c.pool, c.server
 	c.state = closed
@@ -135,8 +135,8 @@
 	c.timer = p.loop.At(p.loop.Now()+p.opt.IdleTimeoutMs, func() { c.loopConn.Close(closeIdle) })
 }
 
-// writeQuery writes the query of an attempt, which gives the server the time limit timeoutMs, in milliseconds.
-func (c *conn) writeQuery(a *attempt, timeoutMs int) {
+// writeQuery writes the query of an attempt, which gives the server the time limit timeLimitMs, in milliseconds.
+func (c *conn) writeQuery(a *attempt, timeLimitMs int) {
 	p := c.pool
 	c.removeFromIdle()
 	p.loop.StopTimer(c.timer)
@@ -146,7 +146,7 @@
 	if a.query == nil {
 		p.scratch = pgwire.AppendQuery(p.scratch[:0], "SHOW load")
 	} else {
-		p.scratch = a.query.AppendQuery(p.scratch[:0], timeoutMs)
+		p.scratch = a.query.AppendQuery(p.scratch[:0], timeLimitMs)
 	}
 	c.writtenAt = p.loop.Now()
 	a.writtenAt = c.writtenAt
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -14,19 +14,19 @@
 
 // Query is a request in the form in which it is sent to a server.
 type Query interface {
-	// AppendQuery appends the query message to dst. The message gives the server the time limit timeoutMs, which is the time
+	// AppendQuery appends the query message to dst. The message gives the server the time limit timeLimitMs, which is the time
 	// that the pooler waits for the answer, in milliseconds.
-	AppendQuery(dst []byte, timeoutMs int) []byte
+	AppendQuery(dst []byte, timeLimitMs int) []byte
 }
 
 // Events receives the outcomes of attempts and probes. Its methods may be called from within any method of Pool that starts,
 // cancels or skips attempts, such as StartAttempt, CancelAttempt, Probe, Drain and Remove.
 type Events interface {
-	AttemptEnded(id AttemptID, o Outcome)
-	ProbeEnded(server string, o Outcome)
+	AttemptEnded(id AttemptID, outcome Outcome)
+	ProbeEnded(serverID string, outcome Outcome)
 	// BeforeSend is called right before an attempt that times out at timeoutAt is written. It returns the time limit to send
 	// to the server, in milliseconds, and whether the attempt may be sent.
-	BeforeSend(id AttemptID, timeoutAt float64) (timeoutMs int, ok bool)
+	BeforeSend(id AttemptID, timeoutAt float64) (timeLimitMs int, ok bool)
 }
 
 // Options are the settings of a Pool.
@@ -35,7 +35,7 @@
 	Roles             [2]string  // the names of the roles primary and replica
 	PositionParameter string     // the parameter in which servers report their position
 	ReportFields      []string   // the fields of a load report
-	ConnectTimeoutMs  float64    // for a connection to become ready, for an attempt to get one, and for a whole probe
+	ConnectTimeoutMs  float64    // for a connection to become ready, for an attempt to get one, and for a complete probe
 	IdleTimeoutMs     float64    // connections that are idle for this long are closed
 	MaxConns          func() int // returns the limit for all servers together, which follows the free descriptors
 	MemoryBytes       func() int // returns the memory limit of the process
@@ -46,9 +46,10 @@
 	answerMemoryDivisor = 8
 	// maxKeptBuffer is the capacity, in bytes, up to which an answer buffer is kept for the next answer.
 	maxKeptBuffer = 1 << 14
-	// stallTimeoutMs is how long an answer that has begun may make no progress, in milliseconds, before it is given up.
+	// stallTimeoutMs is how long an answer that has begun may make no progress, in milliseconds, before its attempt fails.
 	stallTimeoutMs = 150
-	// atMostOnceStallTimeoutMs takes the place of stallTimeoutMs for requests that must not run twice. It is longer because
+	// atMostOnceStallTimeoutMs takes the place of stallTimeoutMs for requests that must not take effect
+	// twice. It is longer because
 	// they cannot be retried.
 	atMostOnceStallTimeoutMs = 600
 	// lossWindowMs is the time after a query, in milliseconds, within which a broken connection is attributed to the query.
@@ -99,10 +100,10 @@
 
 // SetAddress adds a server, or changes its address. Connections to the old address are closed, those in use as soon as they
 // are free.
-func (p *Pool) SetAddress(id, addr string) {
-	s := p.servers[id]
+func (p *Pool) SetAddress(serverID, addr string) {
+	s := p.servers[serverID]
 	if s == nil {
-		p.servers[id] = &server{id: id, addr: addr}
+		p.servers[serverID] = &server{id: serverID, addr: addr}
 		return
 	}
 	if s.addr != addr {
@@ -111,16 +112,16 @@
 	}
 }
 
-func (s *server) closeIdle(why loop.Reason) {
+func (s *server) closeIdle(reason loop.Reason) {
 	for len(s.idle) > 0 {
-		s.idle[0].loopConn.Close(why)
+		s.idle[0].loopConn.Close(reason)
 	}
 }
 
 // Drain closes the idle connections to a server and ends the attempts that wait for one as skipped, because nothing may be
 // sent to a draining server. Attempts that were sent continue.
-func (p *Pool) Drain(id string) {
-	if s := p.servers[id]; s != nil {
+func (p *Pool) Drain(serverID string) {
+	if s := p.servers[serverID]; s != nil {
 		s.closeIdle(closeDraining)
 		p.skipWaiting(s)
 	}
@@ -135,22 +136,22 @@
 }
 
 // Remove removes a server. Its connections in use stay open until their attempts have ended.
-func (p *Pool) Remove(id string) {
-	s := p.servers[id]
+func (p *Pool) Remove(serverID string) {
+	s := p.servers[serverID]
 	if s == nil {
 		return
 	}
 	s.closeIdle(closeRemoved)
-	delete(p.servers, id)
+	delete(p.servers, serverID)
 	s.addr = "" // so that connections in use are closed once they are free
 	p.skipWaiting(s)
 }
 
 // RemoveExcept removes all servers but the given ones.
-func (p *Pool) RemoveExcept(ids map[string]bool) {
-	for id := range p.servers {
-		if !ids[id] {
-			p.Remove(id)
+func (p *Pool) RemoveExcept(serverIDs map[string]bool) {
+	for serverID := range p.servers {
+		if !serverIDs[serverID] {
+			p.Remove(serverID)
 		}
 	}
 }
--- a/internal/backend/send_test.go
+++ b/internal/backend/send_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestQueryWriteTimeout: the time limit in a query soon goes out of date. If the socket does not accept the whole query in
-// time, the rest is never sent, and the attempt has not run.
+// TestQueryWriteTimeout: the time limit in a query soon goes out of date. If the socket does not accept the complete query
+// in time, the rest is never sent, and the attempt has not run.
 func TestQueryWriteTimeout(t *testing.T) {
 	events, server := make(outcomes, 9), listen(t)
 	tp := newTestPool(t, events, options())
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -26,7 +26,7 @@
 	return s.unixMs + float64(time.Since(s.startedAt))/1e6
 }
 
-// Manual is a clock that shows the time it is set to.
+// Manual is a clock whose time is set by tests.
 type Manual struct{ Ms float64 }
 
 // Now returns the time that was set.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -34,18 +34,18 @@
 	Drain(serverID string)
 	Remove(serverID string)
 	RemoveExcept(serverIDs map[string]bool)
-	// StartAttempt starts an attempt that times out at timeoutAt and is not sent at sendDeadline or later. atMostOnce says
-	// that the request must not take effect twice.
+	// StartAttempt starts an attempt that times out at timeoutAt and is not sent at sendDeadline or later. atMostOnce is
+	// true if the request must not take effect twice.
 	StartAttempt(serverID string, query backend.Query, timeoutAt, sendDeadline float64, atMostOnce bool,
 		id backend.AttemptID) slots.Ref
-	CancelAttempt(attempt slots.Ref)
+	CancelAttempt(ref slots.Ref)
 	// CancelUnsentAttempt cancels an attempt that still waits for a connection.
-	CancelUnsentAttempt(attempt slots.Ref)
+	CancelUnsentAttempt(ref slots.Ref)
 	// Probe requests the load report of a server.
 	Probe(serverID string)
 }
 
-// Discovery requests the server list: Watch opens a watch on its changes, Fetch requests the whole list once.
+// Discovery requests the server list: Watch opens a watch on its changes, Fetch requests the full list once.
 type Discovery interface {
 	Watch()
 	Fetch()
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -114,7 +114,7 @@
 )
 
 // TestSilentWatchTimesOut guards against waiting forever for a discovery service that has failed without closing the
-// connection. Drains would be missed. Each keep-alive restarts the time-out.
+// connection. Drains would not be noticed. Each keep-alive restarts the time-out.
 func TestSilentWatchTimesOut(t *testing.T) {
 	tc := newTestClient(t)
 	tc.runOnLoop(tc.client.Watch)
--- a/internal/front/client_limits.go
+++ b/internal/front/client_limits.go
@@ -39,27 +39,29 @@
 
 // Reasons for which this side closes a client's connection.
 const (
-	// closeHalfClosedTimeout: the client did not close the connection within halfClosedTimeoutMs after its final message.
+	// closeHalfClosedTimeout means that the client did not close the connection within halfClosedTimeoutMs after the final
+	// message was sent to it.
 	closeHalfClosedTimeout loop.Reason = "front.left"
-	// closeSendStalled: the client does not read its answers.
+	// closeSendStalled means that the client does not read its answers.
 	closeSendStalled loop.Reason = "front.stuck"
-	// closeStartupTimeout: the client has not sent any part of a startup message within startupTimeoutMs.
+	// closeStartupTimeout means that the client has not sent any part of a startup message within startupTimeoutMs.
 	closeStartupTimeout loop.Reason = "front.silent"
-	// closeIdle: the client has been idle for idleTimeoutMs.
+	// closeIdle means that the client has been idle for idleTimeoutMs.
 	closeIdle loop.Reason = "front.idle"
-	// closeEvicted: the connection was closed in favour of other clients.
+	// closeEvicted means that the connection was closed in favour of other clients.
 	closeEvicted loop.Reason = "front.evicted"
-	// closeMemory: the client holds the most memory while all clients together hold too much.
+	// closeMemory means that the client holds the most memory while all clients together hold too much.
 	closeMemory loop.Reason = "front.memory"
-	// closeShutdown: the process ends.
+	// closeShutdown means that the process ends.
 	closeShutdown loop.Reason = "front.end"
-	// closeDrain: the client is idle while the process drains.
+	// closeDrain means that the client is idle while the process drains.
 	closeDrain loop.Reason = "front.drain"
-	// closeProtocol: the client has sent more than maxDiscardedBytes after the end of its session.
+	// closeProtocol means that the client has sent more than maxDiscardedBytes after the end of its session.
 	closeProtocol loop.Reason = "front.protocol"
-	// closeCancel: the client has sent a cancel request, which has no answer.
+	// closeCancel means that the client has sent a cancel request, which has no answer.
 	closeCancel loop.Reason = "front.cancel"
-	// closeImmediate: the session has ended, but the client cannot be given halfClosedTimeoutMs to close the connection.
+	// closeImmediate means that the session has ended, but the client cannot be given halfClosedTimeoutMs to close the
+	// connection.
 	closeImmediate loop.Reason = "front.last_word"
 )
 
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -13,9 +13,9 @@
 	Class       string
 	Group       int
 	Session     string  // key of the client's session, empty for none
-	Deadline    float64 // on the loop's clock, in milliseconds: the time at which the client gives up
+	Deadline    float64 // on the loop's clock, in milliseconds: the time at which the client abandons the request
 	MinPosition float64 // on the loop's clock, in milliseconds: the read needs data at least this recent; 0 for any
-	Retry       bool    // whether the client says that it has sent this request before
+	Retry       bool    // whether the client has marked the request as sent before
 	IsWrite     bool    // whether the statement changes data
 	Query       backend.Query
 }
@@ -31,6 +31,6 @@
 // RequestHandler accepts requests. Submit may answer the client before it returns; the returned Ref is
 // then no longer valid.
 type RequestHandler interface {
-	Submit(request Request, client Client) (slots.Ref, error)
+	Submit(req Request, client Client) (slots.Ref, error)
 	Abandon(ref slots.Ref, reason string) // the client has disconnected, or this side has closed its connection
 }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -50,7 +50,7 @@
 type Attempt struct {
 	ID            string
 	Effect        beechgrade.Effect
-	RequestEnded  bool    // the request has its final answer, or its client has gone
+	RequestEnded  bool    // the request has its final answer, or was abandoned
 	InFlight      int     // number of other attempts of the request that were written and have not ended
 	MayDuplicate  bool    // the settings allow attempts of one request to run concurrently
 	FirstRunAt    float64 // when the first attempt that may have run was written, 0 if there is none
@@ -79,7 +79,7 @@
 	return true
 }
 
-// CheckAnswer reports whether a request may be given a final answer. answered says that it already has one.
+// CheckAnswer reports whether a request may be given a final answer. answered is true if it already has one.
 func (g *Guard) CheckAnswer(id string, answered bool) bool {
 	if answered {
 		return g.violated(AnsweredTwice, "id", id)
@@ -88,7 +88,8 @@
 }
 
 // CheckClose reports whether a client's connection may be closed for the given reason with the given number of unanswered
-// requests. clientAtFault says that the client itself is the reason: it does not read, or sends input that cannot be accepted.
+// requests. clientAtFault is true if the client itself is the reason: it does not read, or sends input that cannot be
+// accepted.
 func (g *Guard) CheckClose(reason string, unanswered int, clientAtFault bool) bool {
 	if unanswered > 0 && !clientAtFault {
 		return g.violated(ClosedUnanswered, "why", reason, "owed", unanswered)
--- a/internal/loop/dial.go
+++ b/internal/loop/dial.go
@@ -17,7 +17,7 @@
 // DialError is the reason why Dial could not establish a connection.
 type DialError struct {
 	Call  string // the system call that failed, or "resolve"
-	Local bool   // the cause is on this machine, so the error says nothing about the remote side
+	Local bool   // the cause is on this machine, so the error is no evidence against the remote side
 	Err   error
 }
 
@@ -27,7 +27,7 @@
 // Unwrap returns the error of the failed call.
 func (e *DialError) Unwrap() error { return e.Err }
 
-// IsLocal reports whether an error of Dial has its cause on this machine and says nothing about the remote side.
+// IsLocal reports whether an error of Dial has its cause on this machine and is no evidence against the remote side.
 func IsLocal(err error) bool {
 	var d *DialError
 	return errors.As(err, &d) && d.Local
@@ -122,7 +122,7 @@
 	c.dial.onFailure(&DialError{call, isLocalError(err), err})
 }
 
-// completeDial opens a connection that has been established, and reports one that has failed. polled says that the poller has
+// completeDial opens a connection that has been established, and reports one that has failed. polled is true if the poller has
 // reported the outcome; otherwise the connect may still be in progress.
 func (c *Conn) completeDial(polled bool) {
 	status, call, err := c.connectStatus(polled)
--- a/internal/loop/errno.go
+++ b/internal/loop/errno.go
@@ -75,7 +75,7 @@
 	return retryAfterPause
 }
 
-// outOfDescriptors reports whether err says that the process or the machine has no free file descriptor.
+// outOfDescriptors reports whether err means that the process or the machine has no free file descriptor.
 func outOfDescriptors(err error) bool {
 	return errors.Is(err, unix.EMFILE) || errors.Is(err, unix.ENFILE)
 }
--- a/internal/loop/faults_test.go
+++ b/internal/loop/faults_test.go
@@ -21,7 +21,7 @@
 // testTimeout limits every wait of a test. No test depends on how fast something happens.
 const testTimeout = 20 * time.Second
 
-// errorInjector makes the next calls fail, as many as remaining says. If remaining is negative, calls fail until it is set to 0.
+// errorInjector makes the next calls fail; remaining is their number. If it is negative, calls fail until it is set to 0.
 type errorInjector struct {
 	remaining atomic.Int64
 	err       error
@@ -97,7 +97,7 @@
 	return c
 }
 
-// expectEcho sends text and fails the test unless the same text comes back.
+// expectEcho sends text and fails the test unless the same text is received.
 func (tl *testLoop) expectEcho(c net.Conn, text string) {
 	tl.t.Helper()
 	go func() { _, _ = io.WriteString(c, text) }()
@@ -214,7 +214,8 @@
 	}
 }
 
-// failingRead returns a read that fails on sockets as injector says. Reads of the eventfd, whose buffer has 8 bytes, do not fail.
+// failingRead returns a read that fails on sockets with the errors of injector. Reads of the eventfd, whose buffer has 8
+// bytes, do not fail.
 func failingRead(injector *errorInjector) func(int, []byte) (int, error) {
 	return func(fd int, b []byte) (int, error) {
 		if len(b) > 8 {
@@ -226,7 +227,7 @@
 	}
 }
 
-// failingWrite returns a write that fails on sockets as injector says. Writes to the eventfd do not fail.
+// failingWrite returns a write that fails on sockets with the errors of injector. Writes to the eventfd do not fail.
 func failingWrite(injector *errorInjector) func(int, []byte) (int, error) {
 	return func(fd int, b []byte) (int, error) {
 		if !bytes.Equal(b, []byte{1, 0, 0, 0, 0, 0, 0, 0}) {
@@ -419,7 +420,7 @@
 	}
 }
 
-// failCall makes one system call fail as injector says.
+// failCall makes one system call fail with the errors of injector.
 func (k *kernel) failCall(call string, injector *errorInjector) {
 	original := *k
 	switch call {
--- a/internal/loop/listener.go
+++ b/internal/loop/listener.go
@@ -97,7 +97,7 @@
 // acceptPending accepts one connection; the poller reports the remaining ones again. After a failure it accepts until the queue
 // is empty: connections accepted until then may have arrived as early as the first failure, those accepted later cannot.
 func (ln *listener) acceptPending(l *Loop) {
-	for tries := 0; !ln.paused && !ln.closed; {
+	for failures := 0; !ln.paused && !ln.closed; {
 		fd, _, err := l.kernel.accept4(ln.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		if err == nil {
 			l.addAccepted(fd, ln.backoff.firstFailureMs)
@@ -113,7 +113,7 @@
 		l.recordFailure("accept4", err)
 		pauseMs := ln.backoff.nextPause(l.Now())
 		descriptorsFreed := outOfDescriptors(err) && l.OnDescriptorsExhausted != nil && l.OnDescriptorsExhausted()
-		if tries++; tries < immediateTries && (descriptorsFreed || isPendingConnError(err)) {
+		if failures++; failures < immediateTries && (descriptorsFreed || isPendingConnError(err)) {
 			continue
 		}
 		ln.pause(l, pauseMs)
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -255,7 +255,7 @@
 func (l *Loop) AcceptPaused() bool { return l.listener.paused }
 
 // pollOverdueMs is the time in milliseconds without a complete poll after which the loop may have missed that a client has closed
-// its connection. It must be below 100 ms: no attempt may begin for a client that has been gone for that long.
+// its connection. It must be below 100 ms: no attempt may begin for a client that disconnected that long ago.
 const pollOverdueMs = 50
 
 // PollOverdue reports whether the loop was paused or idle for so long that a client may have closed its connection unnoticed. It
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -18,7 +18,7 @@
 	Closed         Family = "closed"          // closed connections by owner and reason [front.idle, ...]
 	SyscallErrors  Family = "syscall_errors"  // failed system calls by call and error [accept4.EMFILE, ...]
 	States         Family = "states"          // entered states of the process [serving, draining, ...]
-	DiscoveryCalls Family = "discovery_calls" // ended discovery calls [listed, failed]
+	DiscoveryCalls Family = "discovery_calls" // received server lists and failed discovery calls [listed, failed]
 	Violations     Family = "violations"      // violated invariants [names of package invariant's rules]
 )
 
--- a/internal/pgwire/answer.go
+++ b/internal/pgwire/answer.go
@@ -19,7 +19,7 @@
 // value.
 const MaxMessage = maxValueBytes + 10
 
-// phase says which message of an answer is expected next, apart from errors, notices and parameters.
+// phase is the message of an answer that is expected next, apart from errors, notices and parameters.
 type phase uint8
 
 const (
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -146,8 +146,8 @@
 	}
 }
 
-// TestSessionKeyDoesNotRetainStatement guards against session keys that keep whole statements in memory. The key is stored long
-// after the statement, which may hold a large value; a substring of the statement would retain all of its text.
+// TestSessionKeyDoesNotRetainStatement guards against session keys that keep complete statements in memory. The key is
+// stored long after the statement, which may hold a large value; a substring of the statement would retain all of its text.
 func TestSessionKeyDoesNotRetainStatement(t *testing.T) {
 	sql := strings.Clone("INSERT INTO kv (name, content) VALUES ('7f3a', '" + strings.Repeat("0", 1<<16) +
 		"') RETURNING content /* id=1,c=order,d=480,cluster=2 */")
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -15,12 +15,12 @@
 	"beechgrade"
 )
 
-// Kind says what happens to the instance of an Item.
+// Kind is the kind of an Item.
 type Kind uint8
 
 // The kinds.
 const (
-	Start   Kind = iota // the instance starts, or starts anew; Settings and Seed are set
+	Start   Kind = iota // the instance starts or restarts; Settings and Seed are set
 	Stop                // the instance has crashed
 	Deliver             // the instance receives Event
 )
@@ -280,7 +280,7 @@
 			request.Class = fields.integer()
 		}
 	}
-	// Bit 0 of options says that expected_ns is to be used, bit 1 that the client repeats the request.
+	// If bit 0 of options is set, expected_ns is to be used. If bit 1 is set, the client repeats the request.
 	if options&1 != 0 {
 		request.Work = work
 	}
--- a/router.go
+++ b/router.go
@@ -1,6 +1,7 @@
 package beechgrade
 
-// This file holds the routing decisions and the tuned constants of the module.
+// This file holds the routing decisions and the constants behind all decisions, except maxMeanRate and
+// limitSteps, which are in state.go.
 
 import (
 	"cmp"
@@ -20,8 +21,8 @@
 	// pauseThreshold is the delay from which a late timer means that this process was paused. A connection or
 	// probe that fails after at least this time may have failed on the path to the server.
 	pauseThreshold = 100 * time.Millisecond
-	// shareFreeze is how long the cost uses the rate for each request that was computed at a server's last
-	// pick. It is the start value given in DESIGN.
+	// shareFreeze is how long the cost uses the rate for each request that was computed when the server was
+	// last chosen. It is the initial value given in DESIGN.
 	shareFreeze = time.Second
 
 	// initialWork is the work of a class without answers, as a fraction of its latency target.
@@ -69,7 +70,7 @@
 	minTenantBurst = 4.0
 	// requestRateMemory is the time constant of this router's measured request rate.
 	requestRateMemory = 5 * time.Second
-	// trafficShareMemory is the memory of where a group's requests went, in rounds over its members.
+	// trafficShareMemory is the memory of the members' traffic shares, in round robins over a group.
 	trafficShareMemory = 4.0
 	// maxProbesPerRequest is how many servers are probed for one request before each of its attempts. The two
 	// cheapest ones give most of the information.
@@ -82,7 +83,7 @@
 	// silentServiceTimes is how many service times of a request are added to those gaps.
 	silentServiceTimes = 3.0
 	// trialRequests is how many requests may be in flight at a server on trial. A single request could be
-	// lost and prove nothing.
+	// lost by chance, which would prove nothing.
 	trialRequests = 3
 
 	// maxLostRatio is the service, as a multiple of its expected work, after which an overtaken attempt is
@@ -244,8 +245,8 @@
 
 func seconds(x float64) Time { return Time(x * float64(time.Second)) }
 
-// currentRate returns the rate that a single request would get now. With its warm rate, a cold server would
-// win every pick.
+// currentRate returns the rate that a single request would get now. If a cold server counted with its warm
+// rate, it would always be chosen.
 func (r *Router) currentRate(s *server) float64 { return r.warmRate(s) * r.capacityFraction(s) }
 
 // freshness returns the weight of information from time at, which falls from 1 to 0 over memory.
@@ -307,7 +308,7 @@
 		cost += (remaining/shareAfter - remaining/shareNow) * a.req.value / q.value
 	}
 	// Failed answers come quickly and leave their server idle, so without this factor a failing server would
-	// win the picks.
+	// always be chosen.
 	cost /= 1 - r.failureChance(s)
 	if s.entry.Zone != r.cfg.Zone {
 		// The cost is a time, so the request's value is expressed as its latency target.
@@ -396,8 +397,8 @@
 
 // freshEnough reports whether a server's data is known to be new enough for the request, and whether it may
 // be. It may be if the server's position is unknown, if more time has passed since its last report than the
-// position lagged behind then (and at least primarySearchInterval), or if the position has come far enough at
-// the rate at which it advances.
+// position lagged behind then (and at least primarySearchInterval), or if the position must be high enough by
+// now at the rate at which it advances.
 func (r *Router) freshEnough(s *server, q *request) (known, likely bool) {
 	minPosition := q.minPosition
 	if q.class.Read == ReadBounded {
@@ -657,10 +658,10 @@
 // that cannot be answered in time.
 func (r *Router) dispatch(g *group) {
 	slices.SortStableFunc(g.waiting, func(a, b *request) int {
-		// The newest go first: under overload, the oldest would each be answered just too late.
+		// The newest are sent first: under overload, the oldest would each be answered just too late.
 		return cmp.Or(cmp.Compare(r.priority(b), r.priority(a)), cmp.Compare(b.arrived, a.arrived))
 	})
-	kept, queue := g.waiting[:0:0], g.waiting
+	stillWaiting, queue := g.waiting[:0:0], g.waiting
 	g.waiting = nil
 	for _, q := range queue {
 		if q.finished {
@@ -668,15 +669,15 @@
 		}
 		if r.deadlineNear(q) || r.attemptsExhausted(q) || r.now+r.fastestAnswer(q) > q.usefulUntil {
 			if q.inFlight == 0 {
-				r.finish(q, "no server can take it in time")
+				r.finish(q, "no attempt or no time left")
 			}
 			continue
 		}
 		if !r.trySend(q) {
-			kept = append(kept, q)
+			stillWaiting = append(stillWaiting, q)
 		}
 	}
-	g.waiting = append(kept, g.waiting...)
+	g.waiting = append(stillWaiting, g.waiting...)
 }
 
 // fastestAnswer returns the shortest expected time to an answer among the group's servers at their present
@@ -697,13 +698,13 @@
 }
 
 // finish gives the final answer: Refuse if trying again is harmless, else Fail.
-func (r *Router) finish(q *request, why string) {
+func (r *Router) finish(q *request, reason string) {
 	ran := q.possiblyRan || q.inFlight > 0
 	if q.class.Effect == Safe || !ran || q.class.Effect == Deduplicated && q.class.Scope == ScopeAll {
 		r.emit(Action{Kind: Refuse, ID: q.id, Wait: min(r.cfg.MaxRetryAfter, q.class.LatencyTarget),
-			Text: why})
+			Text: reason})
 	} else {
-		r.emit(Action{Kind: Fail, ID: q.id, Text: why})
+		r.emit(Action{Kind: Fail, ID: q.id, Text: reason})
 	}
 	r.forgetRequest(q)
 }
@@ -802,7 +803,7 @@
 	}
 	if e.Result != OK && !q.finished && q.inFlight == 0 {
 		if r.deadlineNear(q) || r.attemptsExhausted(q) {
-			r.finish(q, "no further attempt possible after "+e.Result.String())
+			r.finish(q, "no attempt or no time left after "+e.Result.String())
 		} else if !slices.Contains(q.group.waiting, q) {
 			q.group.waiting = append(q.group.waiting, q)
 		}
--- a/router_test.go
+++ b/router_test.go
@@ -111,7 +111,7 @@
 }
 
 // wantSend fails the test unless the actions hold exactly one send, of request id to server s. An empty s
-// stands for any server.
+// matches any server.
 func (h *harness) wantSend(actions []Action, id RequestID, s ServerID) {
 	h.t.Helper()
 	got := ofKind(Send, actions)
@@ -172,8 +172,8 @@
 	}
 }
 
-// TestShareStaysFrozenAfterPick checks that the cost uses the rate computed at a server's last pick until
-// shareFreeze has passed, even if requests end meanwhile.
+// TestShareStaysFrozenAfterPick checks that the cost uses the rate computed when the server was last chosen
+// until shareFreeze has passed, even if requests end meanwhile.
 func TestShareStaysFrozenAfterPick(t *testing.T) {
 	h := newGroupHarness(t, nil)
 	s := h.r.servers["a"]
@@ -1252,7 +1252,7 @@
 	}
 }
 
-// TestFailingServerIsNotTheCheapest guards against a server that wins the picks because it fails. Failures
+// TestFailingServerIsNotTheCheapest guards against a server that is always chosen because it fails. Failures
 // come quickly and leave the server idle, so its cost would be the least if failed answers did not raise it.
 func TestFailingServerIsNotTheCheapest(t *testing.T) {
 	h := newGroupHarness(t, nil)
--- a/state.go
+++ b/state.go
@@ -50,7 +50,7 @@
 	rateSpan        float64 // in seconds
 	rateUpdatedAt   Time
 
-	loadReported  bool // some report has held the number of requests in flight
+	loadReported  bool // some report has included the number of requests in flight
 	listReceived  bool // a server list has arrived
 	timerAt       Time // time of the pending timer, never if there is none
 	nextRefresh   Time
@@ -88,12 +88,12 @@
 	// rate that each request in flight receives.
 	service                       float64
 	serviceUpdatedAt              Time
-	frozenShare                   float64 // rate for each request computed at the last pick, used by cost until frozenUntil
+	frozenShare                   float64 // rate for each request as of the last time it was chosen, used until frozenUntil
 	frozenUntil                   Time
 	answeredWork, answeredService float64 // expected work of the answers since the last refresh, and the service they received
 	othersInFlight                float64 // other routers' requests in flight, as of loadReportedAt
 
-	position           Time    // highest position reported; it never goes back
+	position           Time    // highest position reported; it never decreases
 	positionAt         Time    // when position last advanced
 	positionReportedAt Time    // when a position was last reported, whether it was new or not
 	applyRate          float64 // how far the position advances per unit of time
@@ -273,15 +273,15 @@
 // and rate is no reference, as both are learned by means of the concurrency limit. The estimate of other routers' load is not
 // used either, as it grows with the limit. Nothing is recorded where there are many routers, as each one then sees too little
 // of a server's load, or for a cold or slow server, which answers late for other reasons.
-func (r *Router) recordLatency(s *server, a *attempt, took Time) {
+func (r *Router) recordLatency(s *server, a *attempt, latency Time) {
 	if fewRouters < r.cfg.RouterCount || r.capacityFraction(s) < 1 || s.relativeRate < limitGrowth/2 {
 		return
 	}
 	c := a.req.class
-	c.meanLatency += max(1/meanLatencyMemory, 1/(c.answerCount+1)) * (took.Seconds() - c.meanLatency)
+	c.meanLatency += max(1/meanLatencyMemory, 1/(c.answerCount+1)) * (latency.Seconds() - c.meanLatency)
 	step := &r.limitOfType(s.entry.MachineType).latencies[min(limitSteps-1, int(2*math.Log2(max(1, float64(a.ownInFlight)))))]
 	step.count = min(limitMemory, step.count+1)
-	step.value += (took.Seconds()/max(1e-6, c.meanLatency*a.req.relativeWork) - step.value) / step.count
+	step.value += (latency.Seconds()/max(1e-6, c.meanLatency*a.req.relativeWork) - step.value) / step.count
 }
 
 // rateShare returns the fraction of a server's rate that each of n requests gets. A request alone gets all of it, and beyond
