--- a/api.go
+++ b/api.go
@@ -258,7 +258,7 @@
 	ID           RequestID
 	Attempt      int
 	Server       ServerID
-	Wait         time.Duration // for Send: time-out of the attempt, 0 for the request's deadline; for Refuse: retry delay to advise, 0 for none
+	Wait         time.Duration // for Send: the time-out, 0 for the request's deadline; for Refuse: the advised delay, 0 for none
 	At           Time
 	SendDeadline Time // for Send: an attempt that is not sent before this time ends as Skipped
 	Tag          int64
--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -118,7 +118,7 @@
 		// Free the connection before the outcome is reported: that call may start an attempt which uses it.
 		c.serveNext()
 		p.finish(a, o)
-		if cap(c.answer) > maxKeptBuffer {
+		if cap(c.answer) > maxKeptBufferBytes {
 			c.answer = nil
 		}
 	}
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -204,7 +204,8 @@
 		c.handleMessage(m)
 	}
 	c.updateAnswerBytes()
-	if p := c.pool; c.attempt != nil && c.answerBytes > maxKeptBuffer && p.answerBytes > p.opt.MemoryBytes()/answerMemoryDivisor {
+	if p := c.pool; c.attempt != nil && c.answerBytes > maxKeptBufferBytes &&
+		p.answerBytes > p.opt.MemoryBytes()/answerMemoryDivisor {
 		p.log.Warn("no memory for an answer", "server", c.server.id, "bytes", c.answerBytes, "all", p.answerBytes)
 		p.abort(c.attempt, beechgrade.Failed)
 		return
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -44,8 +44,8 @@
 const (
 	// answerMemoryDivisor limits the buffered bytes of all incomplete answers to this fraction of the memory: 1/8.
 	answerMemoryDivisor = 8
-	// maxKeptBuffer is the capacity, in bytes, up to which an answer buffer is kept for the next answer.
-	maxKeptBuffer = 1 << 14
+	// maxKeptBufferBytes is the capacity up to which an answer buffer is kept for the next answer.
+	maxKeptBufferBytes = 1 << 14
 	// stallTimeoutMs is how long an answer that has begun may make no progress, in milliseconds, before its attempt fails.
 	stallTimeoutMs = 150
 	// atMostOnceStallTimeoutMs takes the place of stallTimeoutMs for requests that must not take effect
@@ -165,7 +165,8 @@
 		p.log.Debug("connection limit reached", "server", s.id, "conns", p.conns.Len())
 		return
 	}
-	c := &conn{pool: p, server: s, addr: s.addr, input: pgwire.NewReader(pgwire.MaxMessage), parser: pgwire.NewStartupAnswer()}
+	c := &conn{pool: p, server: s, addr: s.addr, input: pgwire.NewReader(pgwire.MaxMessageBytes),
+		parser: pgwire.NewStartupAnswer()}
 	c.ref = p.conns.Put(c)
 	s.dialing++
 	c.timer = p.loop.At(p.loop.Now()+p.opt.ConnectTimeoutMs, func() {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -110,14 +110,14 @@
 
 // Apply copies from next the values that can change while the program serves. It returns the names of the values that it
 // changed, and of those that differ but need a restart. LastKnownList and Seed are ignored: they are used only at the start.
-func (c *Config) Apply(next *Config) (changed, kept []string) {
+func (c *Config) Apply(next *Config) (changed, needRestart []string) {
 	update := func(name string, differs bool, apply func()) {
 		switch {
 		case differs && apply != nil:
 			apply()
 			changed = append(changed, name)
 		case differs:
-			kept = append(kept, name)
+			needRestart = append(needRestart, name)
 		}
 	}
 	update("discovery", c.Discovery != next.Discovery, func() { c.Discovery = next.Discovery })
@@ -128,7 +128,7 @@
 	update("listen", c.Listen != next.Listen, nil)
 	update("settings", !reflect.DeepEqual(c.Settings, next.Settings), nil)
 	update("request classes' names", !slices.Equal(c.Classes, next.Classes), nil)
-	return changed, kept
+	return changed, needRestart
 }
 
 func parse(b []byte, env func(string) string, reload bool) (*Config, error) {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -60,9 +60,9 @@
 		t.Fatal(c, err)
 	}
 	for _, step := range []struct {
-		change        [][2]string
-		changed, kept []string
-		now           Config
+		change               [][2]string
+		changed, needRestart []string
+		now                  Config
 	}{
 		{nil, []string{"discovery"}, nil, Config{Discovery: "127.0.0.1:8500", Limits: c.Limits, ConnectTimeoutMs: 120}},
 		{[][2]string{{`"discovery":"127.0.0.1:8500",`, ""}, {`"sockets":1024`, `"sockets":256`}, {"120000000", "90000000"},
@@ -78,9 +78,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		changed, kept := c.Apply(next)
+		changed, needRestart := c.Apply(next)
 		got := Config{Discovery: c.Discovery, Limits: c.Limits, ConnectTimeoutMs: c.ConnectTimeoutMs}
-		if diff := cmp.Diff([]any{step.changed, step.kept, step.now}, []any{changed, kept, got}); diff != "" {
+		if diff := cmp.Diff([]any{step.changed, step.needRestart, step.now}, []any{changed, needRestart, got}); diff != "" {
 			t.Error(diff)
 		}
 	}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -88,8 +88,8 @@
 	return tc
 }
 
-// do runs f on the loop and waits until it has returned.
-func (tc *testCore) do(f func()) {
+// runOnLoop runs f on the loop and waits until it has returned.
+func (tc *testCore) runOnLoop(f func()) {
 	done := make(chan struct{})
 	tc.loop.Post(func() { f(); close(done) })
 	<-done
@@ -118,7 +118,7 @@
 	for _, mayCancel := range []bool{true, false} {
 		tc := newTestCore(t, func(c *config.Config) { c.Settings.MayCancel = mayCancel })
 		answers := make(answerLog, 9)
-		tc.do(func() {
+		tc.runOnLoop(func() {
 			now := tc.clk.Ms
 			ref, err := tc.core.Submit(front.Request{ID: "1", Class: "write", Deadline: now + 2000, Query: answers}, answers)
 			if err != nil {
@@ -131,7 +131,7 @@
 			tc.core.Abandon(ref, "peer")
 		})
 		conns := []net.Conn{tc.accept(), tc.accept()}
-		tc.do(func() { tc.clk.Ms += 500 })
+		tc.runOnLoop(func() { tc.clk.Ms += 500 })
 		select {
 		case got := <-answers:
 			if got != "refused" {
@@ -140,7 +140,7 @@
 		case <-time.After(20 * time.Second):
 			t.Fatal("the second request has no answer")
 		}
-		tc.do(func() {
+		tc.runOnLoop(func() {
 			if n := tc.core.OpenRequests(); n != 0 || len(tc.core.openIDs) != 0 {
 				t.Errorf("MayCancel %v: %d requests and %d ids are left, want none", mayCancel, n, len(tc.core.openIDs))
 			}
@@ -152,7 +152,7 @@
 		}
 		end := time.Now().Add(20 * time.Second)
 		for open := 2; open > 0 && time.Now().Before(end); { // Drain closes the idle connections that are open by now
-			tc.do(func() {
+			tc.runOnLoop(func() {
 				tc.pool.Drain("s-1")
 				open = tc.pool.ConnCount()
 			})
--- a/internal/discovery/http.go
+++ b/internal/discovery/http.go
@@ -15,8 +15,8 @@
 	// maxValueBytes limits one JSON value of a body, which may be the full list.
 	maxValueBytes = 8 << 20
 
-	// maxKeptBuffer is the capacity, in bytes, up to which a value's buffer is kept for the next value.
-	maxKeptBuffer = 1 << 16
+	// maxKeptBufferBytes is the capacity up to which a value's buffer is kept for the next value.
+	maxKeptBufferBytes = 1 << 16
 )
 
 var (
@@ -186,7 +186,7 @@
 				break
 			}
 			value := append(v.buf, b[start:i+1]...)
-			if v.buf = value[:0]; cap(value) > maxKeptBuffer {
+			if v.buf = value[:0]; cap(value) > maxKeptBufferBytes {
 				v.buf = nil
 			}
 			if err := f(value); err != nil {
--- a/internal/front/client_limits_test.go
+++ b/internal/front/client_limits_test.go
@@ -89,8 +89,8 @@
 	return b
 }
 
-// do calls fn on the loop and waits until it returns.
-func (f *fixture) do(fn func()) {
+// runOnLoop runs fn on the loop and waits until it has returned.
+func (f *fixture) runOnLoop(fn func()) {
 	done := make(chan struct{})
 	f.loop.Post(func() { fn(); close(done) })
 	<-done
@@ -132,7 +132,7 @@
 		})
 		evicted <- f.front.FreeDescriptor()
 	}
-	f.do(func() { f.onSubmit = once })
+	f.runOnLoop(func() { f.onSubmit = once })
 	f.write(requesting, request("1", 1))
 	if <-evicted {
 		t.Error("a connection was closed although every client has a request")
@@ -157,7 +157,7 @@
 	if typ := f.read(second, 1)[0]; typ != 'E' {
 		t.Fatalf("the second client received message type %q, want an error (E)", typ)
 	}
-	f.do(firstRequest.Failed)
+	f.runOnLoop(firstRequest.Failed)
 	if typ := f.read(first, 1)[0]; typ != 'E' {
 		t.Fatalf("the first client received message type %q, want an error (E)", typ)
 	}
@@ -173,10 +173,10 @@
 	partial, complete := f.connect(), f.connect()
 	f.write(partial, request("half", 80<<10)[:70<<10])
 	for received := false; !received; { // until the partial message is received
-		f.do(func() { received = f.front.heldBytes >= 70<<10 })
+		f.runOnLoop(func() { received = f.front.heldBytes >= 70<<10 })
 	}
 	f.write(complete, request("1", 20<<10))
-	f.do(f.nextSubmitted().Failed)
+	f.runOnLoop(f.nextSubmitted().Failed)
 	if got := f.loop.Metrics().Sum(metrics.Closed); got != 0 {
 		t.Errorf("%d connections were closed, want none", got)
 	}
--- a/internal/pgwire/answer.go
+++ b/internal/pgwire/answer.go
@@ -15,9 +15,9 @@
 	maxNonRowBytes = 1 << 17
 )
 
-// MaxMessage is the maximum length of a message that an Answer accepts. The length of a DataRow includes 10 bytes beside its
+// MaxMessageBytes is the maximum length of a message that an Answer accepts. The length of a DataRow includes 10 bytes beside its
 // value.
-const MaxMessage = maxValueBytes + 10
+const MaxMessageBytes = maxValueBytes + 10
 
 // phase is the message of an answer that is expected next, apart from errors, notices and parameters.
 type phase uint8
@@ -113,7 +113,7 @@
 	length, maxLength := binary.BigEndian.Uint32(input[1:]), uint32(maxOtherMessageBytes)
 	switch input[0] {
 	case 'D':
-		maxLength = MaxMessage
+		maxLength = MaxMessageBytes
 	case 'R':
 		maxLength = 8
 	case 'Z':
--- a/internal/pgwire/answer_test.go
+++ b/internal/pgwire/answer_test.go
@@ -63,7 +63,7 @@
 				if c.atOnce {
 					piece = len(c.in)
 				}
-				reader, answer, got := NewReader(MaxMessage), NewQueryAnswer(), "waits"
+				reader, answer, got := NewReader(MaxMessageBytes), NewQueryAnswer(), "waits"
 				if c.startup {
 					answer = NewStartupAnswer()
 				}
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -17,7 +17,7 @@
 	for name, c := range map[string]struct {
 		sql       string
 		want      Statement
-		forwarded string // the statement as sent to a server, with a time-out of 250 ms
+		forwarded string // the statement as sent to a server, with a time limit of 250 ms
 		err       error
 	}{
 		"read": {readSQL,
--- a/router_test.go
+++ b/router_test.go
@@ -674,7 +674,7 @@
 
 // TestRateScaleStaysBounded runs a minute of answers with random times. It guards against a drift of the
 // rates: chance could drive the rates of the servers that answer away from the rate of a server that has
-// never answered, which would then win every read or none.
+// never answered, which would then receive every read or none.
 func TestRateScaleStaysBounded(t *testing.T) {
 	h := newGroupHarness(t, nil)
 	h.handle(&List{Kind: ListChanges, Entries: []Entry{{Server: "new"}}})
@@ -824,7 +824,7 @@
 
 // TestBrokenWatchIsReplacedSoon checks that a watch that had lasted is replaced soon after it breaks,
 // because drains and new primaries are reported only through it. A watch that breaks as soon as it is opened
-// must not be replaced as soon, as that would flood a discovery service in trouble.
+// must not be replaced as soon, as that would flood a failing discovery service.
 func TestBrokenWatchIsReplacedSoon(t *testing.T) {
 	cfg := testSettings()
 	cfg.SubscribeList = true
@@ -1271,7 +1271,7 @@
 }
 
 // TestOwnPauseDoesNotCountAgainstServers checks a router whose process was paused, so that every timer and
-// answer is late. It must not take servers for silent or slow because of that.
+// answer is late. It must not treat servers as silent or slow because of that.
 func TestOwnPauseDoesNotCountAgainstServers(t *testing.T) {
 	h := newGroupHarness(t, nil)
 	sent := ofKind(Send, h.submit("1", classAny))[0].Server
@@ -1368,8 +1368,8 @@
 	}
 }
 
-// TestReadTriesAllMembersBeforeRepeating guards against a read that goes back and forth between two members
-// that fail, and against one that, having had positions probed once, cannot have them probed again after a
+// TestReadTriesAllMembersBeforeRepeating guards against a read that is sent back and forth between two
+// failing members, and against one that, having had positions probed once, cannot have them probed again after a
 // failure.
 func TestReadTriesAllMembersBeforeRepeating(t *testing.T) {
 	h := newGroupHarness(t, nil)
@@ -1481,7 +1481,7 @@
 			t.Errorf("%d routers: %d requests and %d attempts left, want 0 and at most 500", routerCount, len(h.r.requests), h.r.inFlight)
 		}
 		if h.r.servers["s1"] == nil || !h.r.servers["s1"].allowedByList() {
-			t.Error("a server that drained, was removed and came back is not usable")
+			t.Error("a server that drained, was removed and was listed again is not usable")
 		}
 	}
 }
