--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -276,7 +276,7 @@
 }
 
 // TestNotSentAfterDeadline: an attempt may only be sent before its send deadline, which follows from the staleness bound or
-// the dedup window, and before its time-out. If its connection becomes ready later, the attempt is skipped and another one
+// the deduplication window, and before its time-out. If its connection becomes ready later, the attempt is skipped and another one
 // that waits uses the connection, whether the loop handles the timer or the connection first.
 func TestNotSentAfterDeadline(t *testing.T) {
 	for name, expire := range map[string]func(a *attempt, now float64){
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -216,11 +216,11 @@
 // Closed implements loop.Handler.
 func (c *conn) Closed(error) {
 	p := c.pool
-	prevState, unsent := c.state, c.loopConn.UnsentBytes()
-	if prevState == closed {
+	previousState, unsent := c.state, c.loopConn.UnsentBytes()
+	if previousState == closed {
 		return
 	}
-	if prevState == startingUp {
+	if previousState == startingUp {
 		c.startupFailed()
 		return
 	}
--- a/router.go
+++ b/router.go
@@ -70,10 +70,11 @@
 	minTenantBurst = 4.0
 	// requestRateMemory is the time constant of this router's measured request rate.
 	requestRateMemory = 5 * time.Second
-	// trafficShareMemory is the memory of the members' traffic shares, in round robins over a group.
+	// trafficShareMemory, times the number of a group's members, is the memory of their traffic shares, in
+	// sends.
 	trafficShareMemory = 4.0
 	// maxProbesPerRequest is how many servers are probed for one request before each of its attempts. The two
-	// cheapest ones give most of the information.
+	// cheapest servers give most of the information.
 	maxProbesPerRequest = 2
 	// probeWaitTicks is how long a request waits for the probes sent for it, in ticks.
 	probeWaitTicks = 4
@@ -96,14 +97,14 @@
 	// lossRateMemory is the memory of the loss rate, in attempts.
 	lossRateMemory = 300
 
-	// longReadRatio is the multiple of the average work from which a read of any data is long. A long read
-	// delays the replay of the log on the server that runs it.
+	// longReadRatio is the multiple of the average work from which a read of kind ReadAny is long. A long
+	// read delays the replay of the log on the server that runs it.
 	longReadRatio = 2.0
 	// fillOrderCost is how much the cost of a long read increases from the first member of its group to the
 	// last, as a multiple of the cost itself.
 	fillOrderCost = 4.0
 	// retryValueFactor is the part of its value that a client's retry has. The latency target counts from
-	// the first try and has mostly passed by then.
+	// the client's first request and has mostly passed by then.
 	retryValueFactor = 0.2
 
 	// downProbeInterval is the time between probes of a server that is down.
@@ -443,7 +444,7 @@
 	var best, secondBest, bestKnown *server
 	leastCost, secondCost, knownCost := math.Inf(1), math.Inf(1), math.Inf(1)
 	for _, s := range q.group.members {
-		if !s.usable() || len(q.attempts) < len(q.group.members) && q.triedOn(s) || !r.hasCapacity(s, q) ||
+		if !s.usable() || len(q.attempts) < len(q.group.members) && q.wasSentTo(s) || !r.hasCapacity(s, q) ||
 			s == primary && !r.primaryHasSpare(s) {
 			continue
 		}
@@ -558,8 +559,8 @@
 }
 
 // sendDeadline returns the time until which the request may be sent to the server. A connection may take long
-// to open. Meanwhile the server's data ages and the deduplication window runs on, so a send that is allowed
-// now may be forbidden later.
+// to open. Meanwhile the server's data ages and part of the deduplication window passes, so a send that is
+// allowed now may be forbidden later.
 func (r *Router) sendDeadline(q *request, s *server) Time {
 	deadline := Time(math.MaxInt64)
 	if q.class.Read == ReadBounded && r.cfg.LagPolicy == LagServesStale && s != r.primary(q.group) {
@@ -697,10 +698,10 @@
 	return seconds(q.class.fastestAnswer.Seconds() * q.relativeWork)
 }
 
-// finish gives the final answer: Refuse if trying again is harmless, else Fail.
+// finish gives the final answer: Refuse if a retry is harmless, else Fail.
 func (r *Router) finish(q *request, reason string) {
-	ran := q.possiblyRan || q.inFlight > 0
-	if q.class.Effect == Safe || !ran || q.class.Effect == Deduplicated && q.class.Scope == ScopeAll {
+	mayHaveRun := q.possiblyRan || q.inFlight > 0
+	if q.class.Effect == Safe || !mayHaveRun || q.class.Effect == Deduplicated && q.class.Scope == ScopeAll {
 		r.emit(Action{Kind: Refuse, ID: q.id, Wait: min(r.cfg.MaxRetryAfter, q.class.LatencyTarget),
 			Text: reason})
 	} else {
@@ -742,14 +743,14 @@
 	case OK:
 		c := q.class
 		if !a.untimed {
-			service, took := s.service-a.serviceAtSend, (r.now - a.sentAt).Seconds()
-			pathTime := min(r.zoneLatency(s), took/2)
-			r.recordLatency(s, a, seconds(took-pathTime))
-			service, took = service*(1-pathTime/max(took, 1e-9)), took-pathTime
+			service, elapsed := s.service-a.serviceAtSend, (r.now - a.sentAt).Seconds()
+			pathTime := min(r.zoneLatency(s), elapsed/2)
+			r.recordLatency(s, a, seconds(elapsed-pathTime))
+			service, elapsed = service*(1-pathTime/max(elapsed, 1e-9)), elapsed-pathTime
 			if r.inferLoad(s,
-				r.concurrencyLimit(s)*(took*r.currentRate(s)/q.expectedWork()-loadInferenceRatio)) {
+				r.concurrencyLimit(s)*(elapsed*r.currentRate(s)/q.expectedWork()-loadInferenceRatio)) {
 				n, _ := r.load(s)
-				service = min(service, took*r.rateShare(s, n)*r.capacityFraction(s))
+				service = min(service, elapsed*r.rateShare(s, n)*r.capacityFraction(s))
 			}
 			s.answeredWork += q.expectedWork()
 			s.answeredService += service
--- a/router_test.go
+++ b/router_test.go
@@ -1553,8 +1553,8 @@
 			h.advance(housekeepingInterval)
 		}
 		want := downProbeInterval << max(0, n-probeBackoffAfter)
-		if took := h.now - last; n > 0 && (took < want || took > want+2*housekeepingInterval) {
-			t.Errorf("probe %d after %v, want %v", n, took, want)
+		if elapsed := h.now - last; n > 0 && (elapsed < want || elapsed > want+2*housekeepingInterval) {
+			t.Errorf("probe %d after %v, want %v", n, elapsed, want)
 		}
 		last = h.now
 		h.handle(&ProbeResult{Server: "a", Result: Unreachable})
@@ -1627,8 +1627,8 @@
 		}
 		for len(finalAnswers(h.advance(10*ms))) == 0 && h.now-arrived < 4*time.Second {
 		}
-		if took := h.now - arrived; took < c.earliest || took > c.latest {
-			t.Errorf("%s: final answer after %v, want %v to %v", name, took, c.earliest, c.latest)
+		if elapsed := h.now - arrived; elapsed < c.earliest || elapsed > c.latest {
+			t.Errorf("%s: final answer after %v, want %v to %v", name, elapsed, c.earliest, c.latest)
 		}
 	}
 }
--- a/state.go
+++ b/state.go
@@ -312,8 +312,8 @@
 	r.inFlight++
 }
 
-// triedOn reports whether a request was sent to a server before.
-func (q *request) triedOn(s *server) bool {
+// wasSentTo reports whether an attempt of the request was sent to a server.
+func (q *request) wasSentTo(s *server) bool {
 	return slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.server == s })
 }
 
@@ -358,9 +358,9 @@
 // rates.
 func (r *Router) updateRequestRates(n, primaryWork float64) {
 	elapsed := (r.now - r.rateUpdatedAt).Seconds()
-	keep := math.Exp(-elapsed / requestRateMemory.Seconds())
-	r.requestSum, r.primaryWorkSum = r.requestSum*keep+n, r.primaryWorkSum*keep+primaryWork
-	r.rateSpan, r.rateUpdatedAt = r.rateSpan*keep+elapsed, r.now
+	decay := math.Exp(-elapsed / requestRateMemory.Seconds())
+	r.requestSum, r.primaryWorkSum = r.requestSum*decay+n, r.primaryWorkSum*decay+primaryWork
+	r.rateSpan, r.rateUpdatedAt = r.rateSpan*decay+elapsed, r.now
 	r.requestRate, r.primaryWorkRate = r.requestSum/max(r.rateSpan, 1), r.primaryWorkSum/max(r.rateSpan, 1)
 }
 
