--- a/router.go
+++ b/router.go
@@ -670,7 +670,7 @@
 		}
 		if r.deadlineNear(q) || r.attemptsExhausted(q) || r.now+r.fastestAnswer(q) > q.usefulUntil {
 			if q.inFlight == 0 {
-				r.finish(q, "no attempt or no time left")
+				r.finish(q, "no attempts or no time left")
 			}
 			continue
 		}
@@ -804,7 +804,7 @@
 	}
 	if e.Result != OK && !q.finished && q.inFlight == 0 {
 		if r.deadlineNear(q) || r.attemptsExhausted(q) {
-			r.finish(q, "no attempt or no time left after "+e.Result.String())
+			r.finish(q, "no attempts or no time left after "+e.Result.String())
 		} else if !slices.Contains(q.group.waiting, q) {
 			q.group.waiting = append(q.group.waiting, q)
 		}
