--- a/example/toy/serve.go
+++ b/example/toy/serve.go
@@ -25,18 +25,18 @@
 
 // run serves one group of three small servers and a discovery that lists them, until the process is interrupted.
 func run(listen string) error {
-	t := &table{rows: map[string][]byte{}}
+	shared := &table{rows: map[string][]byte{}}
 	list := discovery.List{Generation: 1, Complete: true}
 	for i, role := range []string{"primary", "replica", "replica"} {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return fmt.Errorf("server: %w", err)
 		}
 		name := fmt.Sprintf("toy-%d", i)
-		slog.Info("server", "name", name, "role", role, "addr", l.Addr())
-		list.Instances = append(list.Instances, discovery.Instance{ID: name, HostPort: l.Addr().String(), Zone: "room",
+		slog.Info("server", "name", name, "role", role, "addr", listener.Addr())
+		list.Instances = append(list.Instances, discovery.Instance{ID: name, HostPort: listener.Addr().String(), Zone: "room",
 			MachineType: "small", Lifecycle: "up", Weight: 1, Role: role})
-		go serve(l, &server{name: name, role: role, table: t})
+		go serve(listener, &server{name: name, role: role, table: shared})
 	}
 	slog.Info("discovery", "addr", listen)
 	return http.ListenAndServe(listen, discoveryHandler(list))
@@ -93,29 +93,29 @@
 	}
 }
 
-func (s *server) session(c net.Conn) error {
+func (s *server) session(conn net.Conn) error {
 	var size [4]byte
-	if _, err := io.ReadFull(c, size[:]); err != nil {
+	if _, err := io.ReadFull(conn, size[:]); err != nil {
 		return err
 	}
-	if _, err := io.CopyN(io.Discard, c, int64(binary.BigEndian.Uint32(size[:]))-4); err != nil {
+	if _, err := io.CopyN(io.Discard, conn, int64(binary.BigEndian.Uint32(size[:]))-4); err != nil {
 		return err
 	}
-	if _, err := c.Write(pgwire.AppendStartupReply(nil)); err != nil {
+	if _, err := conn.Write(pgwire.AppendStartupReply(nil)); err != nil {
 		return err
 	}
-	in, buf := pgwire.NewReader(1<<18), make([]byte, 1<<14)
+	reader, buf := pgwire.NewReader(1<<18), make([]byte, 1<<14)
 	for {
-		m, ok, err := in.Next()
+		m, ok, err := reader.Next()
 		if err != nil {
 			return err
 		}
 		if !ok {
-			n, err := c.Read(buf)
+			n, err := conn.Read(buf)
 			if err != nil {
 				return err
 			}
-			in.Feed(buf[:n])
+			reader.Feed(buf[:n])
 			continue
 		}
 		if m.Type != 'Q' {
@@ -125,7 +125,7 @@
 		if err != nil {
 			return err
 		}
-		if _, err := c.Write(s.answer(sql)); err != nil {
+		if _, err := conn.Write(s.answer(sql)); err != nil {
 			return err
 		}
 	}
@@ -136,7 +136,7 @@
 	insertPattern = regexp.MustCompile(`^INSERT INTO kv \(name, content\) VALUES \('([^']*)', '\\x([0-9a-f]*)'\) RETURNING content`)
 )
 
-// answer runs one statement.
+// answer runs one statement and returns the messages to send.
 func (s *server) answer(sql string) []byte {
 	s.table.mu.Lock()
 	defer s.table.mu.Unlock()
--- a/example/toy/soak.go
+++ b/example/toy/soak.go
@@ -49,25 +49,25 @@
 		defer f.Close()
 		reports = f
 	}
-	broken, first := 0, c.Uint64("seed")
+	failedRuns, firstSeed := 0, c.Uint64("seed")
 	for i := range c.Int("runs") {
-		r, err := emulator.Run(ctx, emulator.Options{Program: c.String("program"), Seed: first + uint64(i),
+		report, err := emulator.Run(ctx, emulator.Options{Program: c.String("program"), Seed: firstSeed + uint64(i),
 			Poolers: c.Int("poolers"), Clients: c.Int("clients"), Length: c.Duration("length"),
 			Log: log, WorkDir: c.String("keep")})
 		if err != nil {
-			return fmt.Errorf("seed %d: %w", first+uint64(i), err)
+			return fmt.Errorf("seed %d: %w", firstSeed+uint64(i), err)
 		}
-		r.Print(c.Root().Writer)
-		if err := json.NewEncoder(reports).Encode(r); err != nil {
+		report.Print(c.Root().Writer)
+		if err := json.NewEncoder(reports).Encode(report); err != nil {
 			return fmt.Errorf("report: %w", err)
 		}
-		if len(r.Violations) > 0 {
-			broken++
+		if len(report.Violations) > 0 {
+			failedRuns++
 		}
 	}
-	fmt.Fprintf(c.Root().Writer, "%d runs passed, %d failed\n", c.Int("runs")-broken, broken)
-	if broken > 0 {
-		return fmt.Errorf("%d of %d runs broke a rule", broken, c.Int("runs"))
+	fmt.Fprintf(c.Root().Writer, "%d runs passed, %d failed\n", c.Int("runs")-failedRuns, failedRuns)
+	if failedRuns > 0 {
+		return fmt.Errorf("%d of %d runs broke a rule", failedRuns, c.Int("runs"))
 	}
 	return nil
 }
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -15,8 +15,9 @@
 	"beechgrade/internal/pgwire"
 )
 
-// Client is one emulated client of one pooler. It sends requests one after the other, keeps its connection until the pooler
-// closes it or a request fails on it, and records each request in the ledger.
+// Client is one emulated client of one pooler. It sends requests again and again, and records each of them in the ledger. It
+// keeps its connection until the pooler closes it, an answer does not arrive in time, or it disconnects without waiting for an
+// answer.
 type Client struct {
 	ledger  *Ledger
 	process *Process
@@ -25,7 +26,7 @@
 	burst   *atomic.Bool // whether to send requests without a pause
 
 	conn      net.Conn
-	in        *bufio.Reader
+	reader    *bufio.Reader
 	execution int  // number of the process execution that the connection was made to
 	newConn   bool // whether no answer has been received on the connection yet
 	sent      int  // number of requests created so far
@@ -35,7 +36,7 @@
 const (
 	// thinkTime is the mean pause between requests.
 	thinkTime = 120 * time.Millisecond
-	// disconnectShare is the probability that the client disconnects before it is answered.
+	// disconnectShare is the probability that the client disconnects without waiting for the answers to what it has sent.
 	disconnectShare = 0.03
 	// pipelineShare is the probability that two or three requests are sent at once.
 	pipelineShare = 0.05
@@ -101,7 +102,7 @@
 	if err != nil {
 		return false
 	}
-	c.conn, c.in, c.newConn = conn, bufio.NewReader(conn), true
+	c.conn, c.reader, c.newConn = conn, bufio.NewReader(conn), true
 	if c.rng.Float64() >= earlyRequestShare {
 		_ = conn.SetDeadline(time.Now().Add(dialTimeout + c.impairmentAllowance()))
 		if _, err := conn.Write(startupMessage()); err != nil || c.readAnswer().outcome != Open {
@@ -166,13 +167,13 @@
 
 // exchange sends requests in one write and waits until each of them has ended.
 func (c *Client) exchange(requests []*Request) {
-	var b []byte
+	var data []byte
 	startupPending := c.newConn
 	if startupPending {
-		b = startupMessage()
+		data = startupMessage()
 	}
 	for _, r := range requests {
-		b = append(b, c.query(r)...)
+		data = append(data, c.query(r)...)
 	}
 	for i, r := range requests {
 		if i > 0 {
@@ -180,7 +181,7 @@
 		}
 		c.ledger.Begin(r)
 	}
-	_, err := c.conn.Write(b)
+	_, err := c.conn.Write(data)
 	disconnects := c.rng.Float64() < disconnectShare
 	if disconnects {
 		time.Sleep(time.Duration(c.rng.Float64() * float64(requests[0].Class.Deadline) / 4))
@@ -188,22 +189,22 @@
 		return
 	}
 	if err == nil && startupPending {
-		if a := c.awaitAnswer(requests[0]); a.outcome != Open {
-			c.endUnanswered(requests, a)
+		if ans := c.awaitAnswer(requests[0]); ans.outcome != Open {
+			c.endUnanswered(requests, ans)
 			return
 		}
 	}
 	for i, r := range requests {
-		a := c.awaitAnswer(r)
-		if a.outcome == Open || a.incomplete {
-			c.endUnanswered(requests[i:], a)
+		ans := c.awaitAnswer(r)
+		if ans.outcome == Open || ans.incomplete {
+			c.endUnanswered(requests[i:], ans)
 			return
 		}
 		c.newConn = false
-		if a.outcome == Served && string(a.value) != string(expectedValue(r.ID)) {
-			c.ledger.AddViolation(RuleWrong, "%s is answered with %q", r.ID, a.value)
+		if ans.outcome == Served && string(ans.value) != string(expectedValue(r.ID)) {
+			c.ledger.AddViolation(RuleWrong, "%s is answered with %q", r.ID, ans.value)
 		}
-		c.ledger.End(r, a.outcome)
+		c.ledger.End(r, ans.outcome)
 	}
 }
 
@@ -238,27 +239,27 @@
 
 // readAnswer reads one answer.
 func (c *Client) readAnswer() answer {
-	a := answer{outcome: Open}
+	ans := answer{outcome: Open}
 	for {
 		var head [5]byte
-		if _, err := io.ReadFull(c.in, head[:]); err != nil {
-			return a.interrupted(err)
+		if _, err := io.ReadFull(c.reader, head[:]); err != nil {
+			return ans.interrupted(err)
 		}
 		body := make([]byte, max(4, binary.BigEndian.Uint32(head[1:]))-4)
-		if _, err := io.ReadFull(c.in, body); err != nil {
-			return a.interrupted(err)
+		if _, err := io.ReadFull(c.reader, body); err != nil {
+			return ans.interrupted(err)
 		}
 		switch head[0] {
 		case 'D':
-			a.outcome = Served
-			a.value, _ = pgwire.ParseColumn(body)
+			ans.outcome = Served
+			ans.value, _ = pgwire.ParseColumn(body)
 		case 'E':
-			a.outcome = Failed
+			ans.outcome = Failed
 			if code := pgwire.ErrorCode(body); code == "53300" || code == "57P03" {
-				a.outcome = Refused
+				ans.outcome = Refused
 			}
 		case 'Z':
-			return a
+			return ans
 		}
 	}
 }
@@ -277,24 +278,25 @@
 	return a
 }
 
-// endUnanswered ends requests whose connection was closed, or on which the read timed out, before their answers arrived.
-func (c *Client) endUnanswered(requests []*Request, a answer) {
+// endUnanswered ends requests that have no complete answers of their own, because the connection was closed, the read timed out,
+// or the startup message was answered with an error.
+func (c *Client) endUnanswered(requests []*Request, ans answer) {
 	c.closeConn()
 	now := time.Now()
 	time.Sleep(timingTolerance) // an exit of the process may be noticed later than the close
 	for i, r := range requests {
-		if i == 0 && a.outcome != Open { // an error message before the close applies to all pending requests
+		if i == 0 && ans.outcome != Open { // an error in answer to the startup message applies to all requests sent with it
 			for _, rest := range requests {
-				c.ledger.End(rest, a.outcome)
+				c.ledger.End(rest, ans.outcome)
 			}
 			return
 		}
-		c.ledger.End(r, c.unansweredOutcome(r, a, now))
+		c.ledger.End(r, c.unansweredOutcome(r, ans, now))
 	}
 }
 
 // unansweredOutcome returns the outcome of a request without an answer, whose connection ended at the time now.
-func (c *Client) unansweredOutcome(r *Request, a answer, now time.Time) Outcome {
+func (c *Client) unansweredOutcome(r *Request, ans answer, now time.Time) Outcome {
 	execution := c.process.Execution(c.execution)
 	switch {
 	case !execution.KilledAt.IsZero() && execution.TermAt.IsZero():
@@ -305,9 +307,9 @@
 	case !execution.ExitedAt.IsZero() && r.Sent.After(execution.ExitedAt.Add(-timingTolerance)) && !c.ledger.Forwarded(r):
 		return PoolerDown
 	}
-	r.Note = fmt.Sprintf("after %v: %v; new connection: %v; process: %v", now.Sub(r.Sent), a.err, c.newConn, execution)
+	r.Note = fmt.Sprintf("after %v: %v; new connection: %v; process: %v", now.Sub(r.Sent), ans.err, c.newConn, execution)
 	switch {
-	case a.timedOut:
+	case ans.timedOut:
 		return Unanswered
 	case !c.ledger.Forwarded(r) && c.ledger.WasImpaired(c.process.Name, r.Sent.Add(-timingTolerance), now):
 		// Whether the pooler read the request can't be seen from here. If it did, its own invariants count the violation.
@@ -321,16 +323,16 @@
 }
 
 // sendPartialRequest sends part of a request on a new connection and checks that the pooler ends the connection in time.
-func sendPartialRequest(ledger *Ledger, p *Process) {
-	number := p.CurrentExecution()
-	conn, err := net.DialTimeout("tcp", p.listen, dialTimeout)
+func sendPartialRequest(ledger *Ledger, pooler *Process) {
+	number := pooler.CurrentExecution()
+	conn, err := net.DialTimeout("tcp", pooler.listen, dialTimeout)
 	if err != nil {
 		return
 	}
 	defer conn.Close()
 	began := time.Now()
-	half := pgwire.AppendQuery(startupMessage(), "SELECT content FROM kv WHERE name = 'half'")
-	if _, err := conn.Write(half[:len(half)-9]); err != nil {
+	partial := pgwire.AppendQuery(startupMessage(), "SELECT content FROM kv WHERE name = 'half'")
+	if _, err := conn.Write(partial[:len(partial)-9]); err != nil {
 		return
 	}
 	_ = conn.SetReadDeadline(began.Add(partialRequestGrace + timingTolerance))
@@ -339,18 +341,18 @@
 	} else if e, ok := err.(net.Error); !ok || !e.Timeout() {
 		return
 	}
-	if execution := p.Execution(number); !ledger.WasImpaired(p.Name, began, time.Now()) && execution.KilledAt.IsZero() {
+	if execution := pooler.Execution(number); !ledger.WasImpaired(pooler.Name, began, time.Now()) && execution.KilledAt.IsZero() {
 		ledger.AddViolation(RulePartialRequest, "%s: a client that stopped halfway through a request is still connected after %v",
-			p.Name, time.Since(began))
+			pooler.Name, time.Since(began))
 	}
 }
 
 // holdIdleConns holds n idle connections to a pooler for the duration d.
-func holdIdleConns(ledger *Ledger, p *Process, n int, d time.Duration) {
-	ledger.MarkImpaired(p.Name, d)
+func holdIdleConns(ledger *Ledger, pooler *Process, n int, d time.Duration) {
+	ledger.MarkImpaired(pooler.Name, d)
 	var conns []net.Conn
 	for range n {
-		if conn, err := net.DialTimeout("tcp", p.listen, dialTimeout); err == nil {
+		if conn, err := net.DialTimeout("tcp", pooler.listen, dialTimeout); err == nil {
 			_, _ = conn.Write(startupMessage())
 			conns = append(conns, conn)
 		}
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -50,33 +50,33 @@
 	d.notify = make(chan struct{})
 }
 
-// Snapshot returns the complete list, without removed instances.
+// Snapshot returns the full list, without removed instances.
 func (d *Discovery) Snapshot() discovery.List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l := discovery.List{Generation: d.generation, Complete: true, Instances: []discovery.Instance{}}
+	list := discovery.List{Generation: d.generation, Complete: true, Instances: []discovery.Instance{}}
 	for _, i := range d.list {
 		if i.Lifecycle != lifecycleRemoved {
-			l.Instances = append(l.Instances, i)
+			list.Instances = append(list.Instances, i)
 		}
 	}
-	return l
+	return list
 }
 
 const lifecycleUp, lifecycleDraining, lifecycleRemoved = "up", "draining", "removed"
 
 // changesSince returns the instances that have changed since a generation, and a channel that is closed at the next change or
 // when watches are to end.
-func (d *Discovery) changesSince(generation int64) (l discovery.List, notify chan struct{}) {
+func (d *Discovery) changesSince(generation int64) (list discovery.List, notify chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l = discovery.List{Generation: d.generation, Instances: []discovery.Instance{}}
+	list = discovery.List{Generation: d.generation, Instances: []discovery.Instance{}}
 	for id, at := range d.changedIn {
 		if at > generation {
-			l.Instances = append(l.Instances, d.list[id])
+			list.Instances = append(list.Instances, d.list[id])
 		}
 	}
-	return l, d.notify
+	return list, d.notify
 }
 
 // SetDown makes every call fail for the given duration and ends all watches.
@@ -133,7 +133,7 @@
 	d.watch(w, r, from)
 }
 
-// watch sends changes until the connection ends.
+// watch sends changes until the connection ends or discovery is down. A silenced watch sends nothing more, but stays open.
 func (d *Discovery) watch(w http.ResponseWriter, r *http.Request, from int64) {
 	opened := time.Now()
 	flush := func() {
@@ -142,16 +142,16 @@
 		}
 	}
 	for {
-		l, notify := d.changesSince(from)
+		list, notify := d.changesSince(from)
 		switch {
 		case d.isDown():
 			return
 		case d.isSilent(opened):
 			<-r.Context().Done()
 			return
-		case l.Generation > from:
-			_ = json.NewEncoder(w).Encode(l)
-			from = l.Generation
+		case list.Generation > from:
+			_ = json.NewEncoder(w).Encode(list)
+			from = list.Generation
 		default:
 			_, _ = w.Write([]byte("\n"))
 		}
--- a/internal/emulator/environment.go
+++ b/internal/emulator/environment.go
@@ -44,7 +44,7 @@
 	serversStarted int
 	burst          atomic.Bool
 	activeFaults   sync.WaitGroup
-	applied        map[FaultKind]int
+	applied        map[FaultKind]int // number of faults begun, by kind
 }
 
 // Run performs one run and checks it. An error means that the run could not be performed, not that a rule was broken.
@@ -83,13 +83,13 @@
 	}
 	errs := make(chan error, e.opt.Poolers)
 	for i := range e.opt.Poolers {
-		p, err := newProcess(fmt.Sprintf("p%d", i), poolerAddr(e.opt.Seed, i), e.opt.Program, e.opt.WorkDir, e.opt.Poolers,
+		pooler, err := newProcess(fmt.Sprintf("p%d", i), poolerAddr(e.opt.Seed, i), e.opt.Program, e.opt.WorkDir, e.opt.Poolers,
 			e.disc, e.ledger, rand.New(rand.NewPCG(e.opt.Seed, uint64(1+i))))
 		if err != nil {
 			return err
 		}
-		e.poolers = append(e.poolers, p)
-		go func() { errs <- p.start() }()
+		e.poolers = append(e.poolers, pooler)
+		go func() { errs <- pooler.start() }()
 	}
 	for range e.poolers {
 		if err := <-errs; err != nil {
@@ -104,43 +104,43 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.serversStarted++
-	s, err := StartServer(fmt.Sprintf("s%d", e.serversStarted), role, e.ledger)
+	server, err := StartServer(fmt.Sprintf("s%d", e.serversStarted), role, e.ledger)
 	if err != nil {
 		return nil, err
 	}
-	e.servers, e.serverGroups = append(e.servers, s), append(e.serverGroups, group)
+	e.servers, e.serverGroups = append(e.servers, server), append(e.serverGroups, group)
 	started := int64(0)
 	if e.serversStarted > groupCount*(1+replicasPerGroup) {
 		started = time.Now().UnixMilli()
 	}
-	e.disc.Set(discovery.Instance{ID: s.id, HostPort: s.Addr(), Zone: "room", MachineType: "small", Group: group,
+	e.disc.Set(discovery.Instance{ID: server.id, HostPort: server.Addr(), Zone: "room", MachineType: "small", Group: group,
 		Lifecycle: lifecycleUp, Weight: 1, Role: role, StartedAtMs: started})
-	return s, nil
+	return server, nil
 }
 
 // execute runs the clients while it applies the planned faults, and finally terminates all poolers with SIGTERM.
 func (e *environment) execute(ctx context.Context) {
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
-	for i, p := range e.poolers {
+	for i, pooler := range e.poolers {
 		for k := range e.opt.Clients {
-			c := &Client{ledger: e.ledger, process: p, name: fmt.Sprintf("%s-c%d", p.Name, k), burst: &e.burst,
+			c := &Client{ledger: e.ledger, process: pooler, name: fmt.Sprintf("%s-c%d", pooler.Name, k), burst: &e.burst,
 				rng: rand.New(rand.NewPCG(e.opt.Seed, uint64(1000+100*i+k)))}
 			clients.Go(func() { c.run(stop) })
 		}
 	}
 	began := time.Now()
-	for _, f := range Plan(e.rng, e.opt.Length, e.opt.Poolers, groupCount*(1+replicasPerGroup)) {
+	for _, fault := range Plan(e.rng, e.opt.Length, e.opt.Poolers, groupCount*(1+replicasPerGroup)) {
 		select {
-		case <-time.After(time.Until(began.Add(f.At))):
+		case <-time.After(time.Until(began.Add(fault.At))):
 		case <-ctx.Done():
 		}
 		if ctx.Err() != nil {
 			break
 		}
-		e.opt.Log.Debug("fault", "seed", e.opt.Seed, "fault", f)
-		e.applied[f.Kind]++
-		e.activeFaults.Go(func() { e.apply(f) })
+		e.opt.Log.Debug("fault", "seed", e.opt.Seed, "fault", fault)
+		e.applied[fault.Kind]++
+		e.activeFaults.Go(func() { e.apply(fault) })
 	}
 	e.activeFaults.Wait()
 	e.terminateAll()
@@ -158,68 +158,68 @@
 	terminations.Wait()
 }
 
-// apply injects one fault and ends it after its duration.
-func (e *environment) apply(f Fault) {
-	p, s, group := e.poolers[f.Target%len(e.poolers)], (*Server)(nil), 0
+// apply injects one fault. A fault that lasts ends after its duration.
+func (e *environment) apply(fault Fault) {
+	pooler, server, group := e.poolers[fault.Target%len(e.poolers)], (*Server)(nil), 0
 	e.mu.Lock()
-	k := f.Target % len(e.servers)
-	s, group = e.servers[k], e.serverGroups[k]
+	index := fault.Target % len(e.servers)
+	server, group = e.servers[index], e.serverGroups[index]
 	e.mu.Unlock()
-	switch f.Kind {
+	switch fault.Kind {
 	case FaultPause:
-		p.pause(f.Duration)
+		pooler.pause(fault.Duration)
 	case FaultRestart:
-		if p.claimRestart() {
-			p.terminate(signalSeries[f.Count%len(signalSeries)])
-			p.restart(f.Duration)
+		if pooler.claimRestart() {
+			pooler.terminate(signalSeries[fault.Count%len(signalSeries)])
+			pooler.restart(fault.Duration)
 		}
 	case FaultHungDrain:
-		e.restartWhileHung(p, f.Duration)
+		e.restartWhileHung(pooler, fault.Duration)
 	case FaultCrash:
-		if p.claimRestart() {
-			p.kill()
-			p.restart(f.Duration)
+		if pooler.claimRestart() {
+			pooler.kill()
+			pooler.restart(fault.Duration)
 		}
 	case FaultReload:
-		if err := p.moveDiscovery(f.Count); err != nil {
+		if err := pooler.moveDiscovery(fault.Count); err != nil {
 			e.opt.Log.Error("cannot move discovery", "err", err)
 		}
 	case FaultDescriptorLimit:
-		p.limitDescriptors(f.Count-1, f.Duration)
+		pooler.limitDescriptors(fault.Count-1, fault.Duration)
 	case FaultSystemCall:
-		if part := strings.Fields(f.Injection); e.strace {
-			p.injectError(part[0], part[1], part[2], f.Duration)
+		if fields := strings.Fields(fault.Injection); e.strace {
+			pooler.injectError(fields[0], fields[1], fields[2], fault.Duration)
 		}
 	case FaultHang:
-		s.Hang(f.Duration)
+		server.Hang(fault.Duration)
 	case FaultSlow:
-		s.Slow(float64(2+f.Count), f.Duration)
+		server.Slow(float64(2+fault.Count), fault.Duration)
 	case FaultReset:
-		s.Reset(0.5, false)
+		server.Reset(0.5, false)
 	case FaultResetIdle:
-		s.Reset(1, true)
+		server.Reset(1, true)
 	case FaultServerDown:
-		s.Crash(f.Duration)
+		server.Crash(fault.Duration)
 	case FaultDrain:
-		e.replaceReplica(s, group, f.Duration)
+		e.replaceReplica(server, group, fault.Duration)
 	case FaultDiscoveryDown:
-		e.disc.SetDown(f.Duration)
+		e.disc.SetDown(fault.Duration)
 	case FaultSilentWatches:
 		e.disc.SilenceWatches()
 	case FaultIdleClients:
-		holdIdleConns(e.ledger, p, 40*f.Count, f.Duration)
+		holdIdleConns(e.ledger, pooler, 40*fault.Count, fault.Duration)
 	case FaultBurst:
 		e.burst.Store(true)
-		time.Sleep(f.Duration)
+		time.Sleep(fault.Duration)
 		e.burst.Store(false)
 	case FaultPartialRequest:
-		sendPartialRequest(e.ledger, p)
+		sendPartialRequest(e.ledger, pooler)
 	}
 }
 
 // restartWhileHung makes all servers hang while it restarts a pooler.
-func (e *environment) restartWhileHung(p *Process, d time.Duration) {
-	if !p.claimRestart() {
+func (e *environment) restartWhileHung(pooler *Process, d time.Duration) {
+	if !pooler.claimRestart() {
 		return
 	}
 	e.mu.Lock()
@@ -227,13 +227,13 @@
 		s.Hang(d)
 	}
 	e.mu.Unlock()
-	p.terminate(nil)
-	p.restart(0)
+	pooler.terminate(nil)
+	pooler.restart(0)
 }
 
-// replaceReplica drains a replica, adds a new one, and removes the old one after the duration d. It does nothing with a
-// primary, or if fewer than two replicas of the group are in service.
-func (e *environment) replaceReplica(s *Server, group int, d time.Duration) {
+// replaceReplica drains a replica, adds a new one, and removes the old one after the duration d. It does nothing if the server
+// is a primary or already drains, or if fewer than two replicas of its group are in service.
+func (e *environment) replaceReplica(server *Server, group int, d time.Duration) {
 	e.mu.Lock()
 	left := 0
 	for i, other := range e.servers {
@@ -241,15 +241,15 @@
 			left++
 		}
 	}
-	if s.role == rolePrimary || s.Draining() || left < 2 {
+	if server.role == rolePrimary || server.Draining() || left < 2 {
 		e.mu.Unlock()
 		return
 	}
-	entry := discovery.Instance{ID: s.id, HostPort: s.Addr(), Zone: "room", MachineType: "small", Group: group, Weight: 1,
-		Role: s.role}
+	entry := discovery.Instance{ID: server.id, HostPort: server.Addr(), Zone: "room", MachineType: "small", Group: group,
+		Weight: 1, Role: server.role}
 	entry.Lifecycle = lifecycleDraining
 	e.disc.Set(entry)
-	s.MarkDraining(e.disc.PropagatedAt())
+	server.MarkDraining(e.disc.PropagatedAt())
 	e.mu.Unlock()
 	if _, err := e.addServer(group, roleReplica); err != nil {
 		e.opt.Log.Error("cannot start a replacement server", "err", err)
--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -12,7 +12,7 @@
 
 // The kinds of fault.
 const (
-	// FaultPause stops a pooler's process for up to 0.15 s.
+	// FaultPause pauses a pooler's process for up to 0.15 s.
 	FaultPause FaultKind = "stand"
 	// FaultRestart is a planned restart of a pooler by SIGTERM, which further signals may follow.
 	FaultRestart FaultKind = "restart"
@@ -30,13 +30,13 @@
 	FaultHang FaultKind = "hang"
 	// FaultSlow makes a server slow.
 	FaultSlow FaultKind = "slow"
-	// FaultReset resets connections to a server.
+	// FaultReset resets about half of the connections to a server.
 	FaultReset FaultKind = "reset"
-	// FaultResetIdle resets the idle connections to a server.
+	// FaultResetIdle resets all idle connections to a server.
 	FaultResetIdle FaultKind = "reset_idle"
 	// FaultServerDown makes a server refuse connections for a while.
 	FaultServerDown FaultKind = "server_down"
-	// FaultDrain drains a replica, removes it and adds another one in its place.
+	// FaultDrain drains a replica, adds another one in its place, and removes the drained one.
 	FaultDrain FaultKind = "drain"
 	// FaultDiscoveryDown makes discovery unavailable.
 	FaultDiscoveryDown FaultKind = "directory"
@@ -55,9 +55,9 @@
 	At        time.Duration
 	Kind      FaultKind
 	Target    int           // selects the pooler or server
-	Duration  time.Duration // how long it lasts
+	Duration  time.Duration // how long it lasts; for FaultRestart and FaultCrash, the pause before the process is started again
 	Injection string        // for FaultSystemCall: the call, the error and which calls fail
-	Count     int           // a number between 1 and 5, whose meaning depends on the kind
+	Count     int           // from 1 to 5; apply derives from it, for example, the number of SIGHUPs or of idle clients
 }
 
 // String describes the fault in one line.
@@ -93,8 +93,8 @@
 }
 
 // The system calls that wait for events. If strace detaches while it makes a call fail, the call returns ENOSYS, which Linux
-// itself never returns and on which Go's runtime aborts the process. The runtime's call is therefore made to fail a few times
-// only, not until strace detaches.
+// itself never returns and on which Go's runtime aborts the process. The runtime's call is therefore made to fail at most three
+// times, and not until strace detaches.
 const (
 	// pollCalls are the calls of the pooler's event loop (epoll_wait) and of Go's runtime (epoll_pwait).
 	pollCalls = "epoll_wait,epoll_pwait"
--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -15,41 +15,46 @@
 
 // The rules.
 const (
-	// RuleLost is broken if a request that a pooler accepted has no complete final answer.
+	// RuleLost is broken if a request ends as Unanswered: it has no complete final answer, and nothing excuses that.
 	RuleLost Rule = "lost"
-	// RuleLate is broken if an answer arrives more than answerGrace after its deadline.
+	// RuleLate is broken if an answer arrives after the time that LatestAnswer returns, which is answerGrace after the deadline
+	// unless something excuses the delay.
 	RuleLate Rule = "late"
 	// RuleWrong is broken if a request is answered with a value that belongs to another one, or if a server receives an
 	// unknown request or a malformed statement.
 	RuleWrong Rule = "wrong"
-	// RuleDuplicate is broken if a request that may run at most once may have run twice.
+	// RuleDuplicate is broken if servers execute a request more than once that may run at most once.
 	RuleDuplicate Rule = "duplicate"
 	// RuleRefusedWrite is broken if a write runs although its client was told that it did not.
 	RuleRefusedWrite Rule = "refused"
-	// RuleOverlap is broken if two attempts of one request are in flight at once.
+	// RuleOverlap is broken if two attempts of one request are in flight at once for longer than timingTolerance.
 	RuleOverlap Rule = "overlap"
-	// RuleExcessTimeout is broken if the time-out sent to a server exceeds the time that the client has left.
+	// RuleExcessTimeout is broken if the time-out sent to a server exceeds the time that the client has left by more than
+	// timeoutGrace.
 	RuleExcessTimeout Rule = "told"
 	// RuleAfterDisconnect is broken if an attempt begins more than disconnectGrace after the request's client disconnected.
 	RuleAfterDisconnect Rule = "gone"
 	// RuleAfterAnswer is broken if an attempt begins after its request was answered.
 	RuleAfterAnswer Rule = "over"
-	// RuleDrain is broken if an attempt begins at a server more than drainGrace after its drain counts as known.
+	// RuleDrain is broken if an attempt begins at a server more than drainGrace after its drain counts as known, unless the
+	// pooler was impaired meanwhile.
 	RuleDrain Rule = "drain"
 	// RuleCrash is broken if a pooler exits without having been sent SIGTERM or SIGKILL, or with an error after SIGTERM.
 	RuleCrash Rule = "crash"
-	// RuleReady is broken if a restarted pooler is not ready within readyTimeout.
+	// RuleReady is broken if a pooler can't be restarted, exits during its start, or is not ready within readyTimeout.
 	RuleReady Rule = "ready"
-	// RuleInvariant is broken if the pooler's own checks log a violation, or if it panics.
+	// RuleInvariant is broken if the pooler's own checks log a violation, or if it ends with a panic or a fatal error of Go's
+	// runtime.
 	RuleInvariant Rule = "invariant"
-	// RulePartialRequest is broken if a client that stops halfway through a request gets neither an error nor a close.
+	// RulePartialRequest is broken if the connection of a client that stops halfway through a request is still open after
+	// partialRequestGrace, unless the pooler was impaired or killed.
 	RulePartialRequest Rule = "bad_client"
 )
 
 // Limits and tolerances of the rules.
 const (
-	// answerGrace is how long after its deadline an answer may still arrive. Within that time a late answer is worthless, but
-	// it breaks no rule.
+	// answerGrace is how long after its deadline an answer may still arrive. Within that time a late answer has no value, but it
+	// breaks no rule.
 	answerGrace = 500 * time.Millisecond
 	// disconnectGrace is how long attempts may still begin after the request's client has disconnected.
 	disconnectGrace = 100 * time.Millisecond
@@ -67,7 +72,7 @@
 	partialRequestGrace = 3 * time.Second
 	// readyTimeout is the time within which a started pooler must answer.
 	readyTimeout = 10 * time.Second
-	// killAfter is the time between SIGTERM and SIGKILL: the longest deadline and 0.7 s.
+	// killAfter is the time after SIGTERM at which a pooler may be killed: the longest deadline and 0.7 s.
 	killAfter = 3700 * time.Millisecond
 )
 
@@ -91,17 +96,18 @@
 	Refused Outcome = "refused"
 	// Failed means that the answer was any other error.
 	Failed Outcome = "failed"
-	// Disconnected means that the client disconnected before the answer.
+	// Disconnected means that the client disconnected without waiting for the answer.
 	Disconnected Outcome = "left"
-	// PoolerKilled means that the pooler was killed without warning, or that it was killed after SIGTERM and had too little
-	// time for the request, or was impaired.
+	// PoolerKilled means that the pooler was killed before it answered: either without SIGTERM, or after SIGTERM, where the
+	// request was sent less than 2*timingTolerance before the kill or the pooler was impaired between the two.
 	PoolerKilled Outcome = "void"
-	// CloseRace means that the pooler closed the connection while the request was being sent, and no server received the
-	// request.
+	// CloseRace means that no server received the request, and that the pooler was impaired or closed the connection within
+	// timingTolerance after the request was sent. A close of a new connection counts only after SIGTERM.
 	CloseRace Outcome = "crossed"
-	// PoolerDown means that the pooler had exited, so that the request was never received.
+	// PoolerDown means that the pooler had exited, or was about to, when the request was sent, and that no server received it.
 	PoolerDown Outcome = "unserved"
-	// Unanswered means that the request was accepted and never answered, which breaks RuleLost.
+	// Unanswered means that the request has no complete answer, and that none of the reasons above excuses it. This breaks
+	// RuleLost.
 	Unanswered Outcome = "abandoned"
 )
 
@@ -142,7 +148,7 @@
 	outcomes   map[Outcome]int
 	violations []Violation
 	impaired   map[string][]interval // by pooler name
-	attempts   int
+	attempts   int                   // attempts received by servers, including those of unknown requests
 }
 
 // NewLedger returns an empty ledger, whose run begins now.
@@ -174,9 +180,9 @@
 // impairedUntil returns the latest end of the intervals of impairment that overlap the given period, or the zero time.
 func (l *Ledger) impairedUntil(pooler string, from, to time.Time) time.Time {
 	var until time.Time
-	for _, s := range l.impaired[pooler] {
-		if s.from.Before(to) && s.to.After(from) && s.to.After(until) {
-			until = s.to
+	for _, period := range l.impaired[pooler] {
+		if period.from.Before(to) && period.to.After(from) && period.to.After(until) {
+			until = period.to
 		}
 	}
 	return until
@@ -199,8 +205,9 @@
 	l.requests[r.ID] = r
 }
 
-// LatestAnswer returns the time by which the request must be answered: answerGrace after its deadline, or later if the request
-// before it on the connection may take longer or if its pooler was impaired.
+// LatestAnswer returns the time by which the request must be answered: answerGrace after its deadline. It is later if the
+// request before it on the connection may take longer, and at least answerGrace after the end of an impairment of its pooler.
+// timingTolerance is added.
 func (l *Ledger) LatestAnswer(r *Request) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -221,27 +228,27 @@
 }
 
 // End sets the outcome of a request and checks it. Further calls for the same request do nothing.
-func (l *Ledger) End(r *Request, o Outcome) {
+func (l *Ledger) End(request *Request, outcome Outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if r.Outcome != Open {
+	if request.Outcome != Open {
 		return
 	}
-	r.Outcome, r.Ended = o, time.Now()
-	l.outcomes[o]++
-	switch o {
+	request.Outcome, request.Ended = outcome, time.Now()
+	l.outcomes[outcome]++
+	switch outcome {
 	case Served, Refused, Failed:
-		if latest := l.latestAnswer(r); r.Ended.After(latest) {
-			l.addViolation(RuleLate, "%s of %s at %s: %s %v after its deadline", r.ID, r.Class.Name, r.Pooler, o,
-				r.Ended.Sub(r.Deadline))
+		if latest := l.latestAnswer(request); request.Ended.After(latest) {
+			l.addViolation(RuleLate, "%s of %s at %s: %s %v after its deadline", request.ID, request.Class.Name, request.Pooler,
+				outcome, request.Ended.Sub(request.Deadline))
 		}
 	case Unanswered:
-		l.addViolation(RuleLost, "%s of %s at %s, sent at %.3f: no complete answer; %s; %s", r.ID, r.Class.Name, r.Pooler,
-			r.Sent.Sub(l.began).Seconds(), r.Note, r.describeAttempts(l.began))
+		l.addViolation(RuleLost, "%s of %s at %s, sent at %.3f: no complete answer; %s; %s", request.ID, request.Class.Name,
+			request.Pooler, request.Sent.Sub(l.began).Seconds(), request.Note, request.describeAttempts(l.began))
 	}
-	if o == Refused && r.Class.AtMostOnce && r.executed() {
-		l.addViolation(RuleRefusedWrite, "%s of %s at %s: refused after it ran; %s", r.ID, r.Class.Name, r.Pooler,
-			r.describeAttempts(l.began))
+	if outcome == Refused && request.Class.AtMostOnce && request.executed() {
+		l.addViolation(RuleRefusedWrite, "%s of %s at %s: refused after it ran; %s", request.ID, request.Class.Name,
+			request.Pooler, request.describeAttempts(l.began))
 	}
 }
 
@@ -272,57 +279,57 @@
 	return text
 }
 
-// BeginAttempt records an attempt that a server has received completely, with the time-out sent along. It returns nil if no
-// client sent the request.
+// BeginAttempt records and checks an attempt that a server has received completely, with the time-out sent along. It returns
+// nil if no client sent the request.
 func (l *Ledger) BeginAttempt(id, server string, timeout time.Duration, rejected bool) *Attempt {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.attempts++
 	now := time.Now()
-	r := l.requests[id]
-	if r == nil {
+	request := l.requests[id]
+	if request == nil {
 		l.addViolation(RuleWrong, "server %s received request %q, which no client sent", server, id)
 		return nil
 	}
-	a := &Attempt{request: r, server: server, arrived: now, executed: !rejected}
-	l.checkAttempt(r, a, timeout)
-	for _, earlier := range r.attempts {
-		l.checkOverlap(r, earlier, a)
+	attempt := &Attempt{request: request, server: server, arrived: now, executed: !rejected}
+	l.checkAttempt(request, attempt, timeout)
+	for _, earlier := range request.attempts {
+		l.checkOverlap(request, earlier, attempt)
 	}
-	r.attempts = append(r.attempts, a)
-	return a
+	request.attempts = append(request.attempts, attempt)
+	return attempt
 }
 
 // checkAttempt checks an attempt against its request.
-func (l *Ledger) checkAttempt(r *Request, a *Attempt, timeout time.Duration) {
-	where := fmt.Sprintf("%s of %s at %s, to %s", r.ID, r.Class.Name, r.Pooler, a.server)
-	if left := r.Deadline.Sub(a.arrived); timeout > left+timeoutGrace+timingTolerance {
+func (l *Ledger) checkAttempt(request *Request, attempt *Attempt, timeout time.Duration) {
+	where := fmt.Sprintf("%s of %s at %s, to %s", request.ID, request.Class.Name, request.Pooler, attempt.server)
+	if left := request.Deadline.Sub(attempt.arrived); timeout > left+timeoutGrace+timingTolerance {
 		l.addViolation(RuleExcessTimeout, "%s: time-out of %v, with %v left", where, timeout, left)
 	}
-	if r.Outcome == Disconnected && a.arrived.After(r.Ended.Add(disconnectGrace+timingTolerance)) {
-		l.addViolation(RuleAfterDisconnect, "%s: %v after its client disconnected", where, a.arrived.Sub(r.Ended))
+	if request.Outcome == Disconnected && attempt.arrived.After(request.Ended.Add(disconnectGrace+timingTolerance)) {
+		l.addViolation(RuleAfterDisconnect, "%s: %v after its client disconnected", where, attempt.arrived.Sub(request.Ended))
 	}
-	if answered := r.Outcome == Served || r.Outcome == Refused || r.Outcome == Failed; answered &&
-		a.arrived.After(r.Ended.Add(timingTolerance)) {
-		l.addViolation(RuleAfterAnswer, "%s: %v after its answer", where, a.arrived.Sub(r.Ended))
+	if answered := request.Outcome == Served || request.Outcome == Refused || request.Outcome == Failed; answered &&
+		attempt.arrived.After(request.Ended.Add(timingTolerance)) {
+		l.addViolation(RuleAfterAnswer, "%s: %v after its answer", where, attempt.arrived.Sub(request.Ended))
 	}
-	if a.executed && r.Class.AtMostOnce && r.executed() {
-		l.addViolation(RuleDuplicate, "%s: it may have run already; %s", where, r.describeAttempts(l.began))
+	if attempt.executed && request.Class.AtMostOnce && request.executed() {
+		l.addViolation(RuleDuplicate, "%s: it may have run already; %s", where, request.describeAttempts(l.began))
 	}
-	if a.executed && r.Class.AtMostOnce && r.Outcome == Refused {
+	if attempt.executed && request.Class.AtMostOnce && request.Outcome == Refused {
 		l.addViolation(RuleRefusedWrite, "%s: executed after it was refused", where)
 	}
 }
 
-// checkOverlap checks that an earlier attempt had ended when the attempt a arrived. It does so after a delay, since the close
-// of the earlier attempt's connection may be noticed later.
-func (l *Ledger) checkOverlap(r *Request, earlier, a *Attempt) {
+// checkOverlap checks that the earlier attempt had ended when the later one arrived. It does so after a delay, since the close
+// of the earlier attempt's connection may be noticed late.
+func (l *Ledger) checkOverlap(request *Request, earlier, later *Attempt) {
 	time.AfterFunc(2*timingTolerance, func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if earlier.ended.IsZero() || earlier.ended.After(a.arrived.Add(timingTolerance)) {
-			l.addViolation(RuleOverlap, "%s of %s at %s: in flight at %s and %s", r.ID, r.Class.Name, r.Pooler,
-				earlier.server, a.server)
+		if earlier.ended.IsZero() || earlier.ended.After(later.arrived.Add(timingTolerance)) {
+			l.addViolation(RuleOverlap, "%s of %s at %s: in flight at %s and %s", request.ID, request.Class.Name, request.Pooler,
+				earlier.server, later.server)
 		}
 	})
 }
--- a/internal/emulator/ledger_test.go
+++ b/internal/emulator/ledger_test.go
@@ -42,7 +42,7 @@
 			r.previous, r.Deadline = previous, ago(time.Second)
 			l.End(r, Served)
 		}, repeatableClass(), nil},
-		"late because its pooler was impaired": {func(l *Ledger, r *Request) {
+		"answered late by a pooler that was impaired": {func(l *Ledger, r *Request) {
 			r.Sent, r.Deadline = ago(2*time.Second), ago(time.Second)
 			l.impaired["p"] = []interval{{ago(1200 * time.Millisecond), ago(100 * time.Millisecond)}}
 			l.End(r, Served)
@@ -110,6 +110,7 @@
 		t.Error(diff)
 	}
 	if cmp.Equal(draw(7), draw(8)) || len(draw(7)) < 60 {
-		t.Errorf("%d faults in a minute; another seed draws the same ones: %v", len(draw(7)), cmp.Equal(draw(7), draw(8)))
+		t.Errorf("%d faults in a minute, want at least 60; another seed draws the same ones: %v, want false",
+			len(draw(7)), cmp.Equal(draw(7), draw(8)))
 	}
 }
--- a/internal/emulator/process.go
+++ b/internal/emulator/process.go
@@ -23,14 +23,14 @@
 type Process struct {
 	Name string
 
-	program    string
-	listen     string
-	configPath string
-	logPath    string
-	poolers    int
-	disc       *Discovery
-	ledger     *Ledger
-	rng        *rand.Rand
+	program     string
+	listen      string
+	configPath  string
+	logPath     string
+	poolerCount int // number of poolers in the run
+	disc        *Discovery
+	ledger      *Ledger
+	rng         *rand.Rand
 
 	mu         sync.Mutex
 	endpoint   *endpoint
@@ -49,7 +49,7 @@
 const (
 	// stateDown means that the process is not running.
 	stateDown processState = iota
-	// stateUp means that the process runs and must not exit.
+	// stateUp means that the process is running and must not exit by itself.
 	stateUp
 	// stateTerminating means that the process has been sent SIGTERM.
 	stateTerminating
@@ -59,7 +59,7 @@
 type Execution struct {
 	TermAt   time.Time // when SIGTERM was sent
 	KilledAt time.Time // when SIGKILL was sent
-	ExitedAt time.Time
+	ExitedAt time.Time // when its exit was noticed
 }
 
 // poolerPort is the port at which all poolers listen, each at an address of its own.
@@ -67,8 +67,8 @@
 
 // poolerAddr returns the loopback address of one pooler of one run. No other socket of this machine is bound to it, so it
 // stays free while its pooler is down.
-func poolerAddr(seed uint64, no int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", 1+seed%200, no/250, 1+no%250, poolerPort)
+func poolerAddr(seed uint64, index int) string {
+	return fmt.Sprintf("127.%d.%d.%d:%d", 1+seed%200, index/250, 1+index%250, poolerPort)
 }
 
 // String describes the execution.
@@ -83,10 +83,10 @@
 }
 
 // newProcess prepares a pooler that listens at an address, without starting it.
-func newProcess(name, listen, program, workDir string, poolers int, disc *Discovery, ledger *Ledger,
+func newProcess(name, listen, program, workDir string, poolerCount int, disc *Discovery, ledger *Ledger,
 	rng *rand.Rand) (*Process, error) {
 	p := &Process{Name: name, program: program, listen: listen, configPath: filepath.Join(workDir, name+".json"),
-		logPath: filepath.Join(workDir, name+".log"), poolers: poolers, disc: disc, ledger: ledger, rng: rng}
+		logPath: filepath.Join(workDir, name+".log"), poolerCount: poolerCount, disc: disc, ledger: ledger, rng: rng}
 	var err error
 	if p.endpoint, err = disc.openEndpoint(); err != nil {
 		return nil, err
@@ -97,7 +97,7 @@
 
 // writeConfig writes the configuration file with discovery's present list and endpoint.
 func (p *Process) writeConfig() error {
-	b, err := configuration(p.Name, p.listen, p.endpoint.addr, p.rng.Uint64(), p.poolers, p.disc.Snapshot())
+	b, err := configuration(p.Name, p.listen, p.endpoint.addr, p.rng.Uint64(), p.poolerCount, p.disc.Snapshot())
 	if err != nil {
 		return err
 	}
@@ -126,7 +126,8 @@
 	return p.waitReady(exited)
 }
 
-// wait waits for the exit of the process and checks it.
+// wait waits for the exit of the process, and reports it as a violation unless the operator caused it and it is free of errors.
+// An exit after SIGKILL is never a violation.
 func (p *Process) wait(cmd *exec.Cmd, execution *Execution, exited chan struct{}) {
 	err := cmd.Wait()
 	p.mu.Lock()
@@ -162,16 +163,16 @@
 
 // answersStartup reports whether the pooler accepts a startup message, which is followed by an empty query.
 func (p *Process) answersStartup() bool {
-	c, err := net.DialTimeout("tcp", p.listen, time.Second)
+	conn, err := net.DialTimeout("tcp", p.listen, time.Second)
 	if err != nil {
 		return false
 	}
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(time.Second))
-	if _, err := c.Write(pgwire.AppendQuery(pgwire.AppendStartup(nil, "backend", "store"), "")); err != nil {
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(time.Second))
+	if _, err := conn.Write(pgwire.AppendQuery(pgwire.AppendStartup(nil, "backend", "store"), "")); err != nil {
 		return false
 	}
-	b, _ := bufio.NewReader(c).ReadByte()
+	b, _ := bufio.NewReader(conn).ReadByte()
 	return b == 'R'
 }
 
@@ -204,8 +205,8 @@
 	<-exited
 }
 
-// terminate sends SIGTERM and a series of further signals, and waits for the exit. After killAfter, the earliest time allowed,
-// it kills the process.
+// terminate sends SIGTERM and a series of further signals, and waits for the exit. It kills the process after killAfter, the
+// earliest moment at which an operator may do so.
 func (p *Process) terminate(series []syscall.Signal) {
 	p.mu.Lock()
 	if p.state != stateUp {
@@ -236,7 +237,7 @@
 	return true
 }
 
-// restart starts the process again after a pause, and ends the reservation by claimRestart.
+// restart starts the process again after a pause, and then releases the reservation that claimRestart made.
 func (p *Process) restart(pause time.Duration) {
 	time.Sleep(pause)
 	if err := p.start(); err != nil {
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -24,8 +24,8 @@
 	addr         string
 	listener     net.Listener
 	conns        map[net.Conn]*connState
-	hungUntil    time.Time // nothing is answered before this time
-	slowFactor   float64   // the factor by which work takes longer; 0 if the server is not slow
+	hungUntil    time.Time // no statement is answered before this time
+	slowFactor   float64   // by which the time of work is multiplied; 0 if the server is not slow
 	drainKnownAt time.Time // when its drain counts as known to all poolers; zero if it does not drain
 }
 
@@ -79,53 +79,53 @@
 }
 
 // session serves one connection until it is closed.
-func (s *Server) session(c net.Conn, state *connState) {
+func (s *Server) session(conn net.Conn, state *connState) {
 	defer func() {
-		_ = c.Close()
+		_ = conn.Close()
 		s.mu.Lock()
-		delete(s.conns, c)
+		delete(s.conns, conn)
 		s.mu.Unlock()
 		state.mu.Lock()
 		s.ledger.EndAttempt(state.attempt)
 		state.mu.Unlock()
 	}()
 	var size [4]byte
-	if _, err := io.ReadFull(c, size[:]); err != nil {
+	if _, err := io.ReadFull(conn, size[:]); err != nil {
 		return
 	}
-	if _, err := io.CopyN(io.Discard, c, int64(binary.BigEndian.Uint32(size[:]))-4); err != nil {
+	if _, err := io.CopyN(io.Discard, conn, int64(binary.BigEndian.Uint32(size[:]))-4); err != nil {
 		return
 	}
-	if _, err := c.Write(pgwire.AppendStartupReply(nil)); err != nil {
+	if _, err := conn.Write(pgwire.AppendStartupReply(nil)); err != nil {
 		return
 	}
-	in, buf := pgwire.NewReader(1<<18), make([]byte, 1<<14)
+	reader, buf := pgwire.NewReader(1<<18), make([]byte, 1<<14)
 	for {
-		m, ok, err := in.Next()
+		m, ok, err := reader.Next()
 		if err != nil {
 			return
 		}
 		if !ok {
-			n, err := c.Read(buf)
+			n, err := conn.Read(buf)
 			if err != nil {
 				return
 			}
-			in.Feed(buf[:n])
+			reader.Feed(buf[:n])
 			continue
 		}
 		sql, err := pgwire.ParseText(m.Body)
 		if m.Type != 'Q' || err != nil {
 			return
 		}
-		s.handleStatement(c, state, sql)
+		s.handleStatement(conn, state, sql)
 	}
 }
 
 // handleStatement starts one statement, whose answer is sent later. The session keeps reading meanwhile, so that it notices
 // when the pooler closes the connection.
-func (s *Server) handleStatement(c net.Conn, state *connState, sql string) {
+func (s *Server) handleStatement(conn net.Conn, state *connState, sql string) {
 	if sql == "SHOW load" || sql == "SELECT 1" {
-		s.schedule(0, func() { _, _ = c.Write(s.loadReport()) })
+		s.schedule(0, func() { _, _ = conn.Write(s.loadReport()) })
 		return
 	}
 	stmt, err := pgwire.ParseStatement(sql)
@@ -134,38 +134,38 @@
 		return
 	}
 	rejected := stmt.IsWrite && s.role != rolePrimary
-	a := s.ledger.BeginAttempt(stmt.ID, s.id, time.Duration(stmt.TimeoutMs)*time.Millisecond, rejected)
-	if a == nil {
+	attempt := s.ledger.BeginAttempt(stmt.ID, s.id, time.Duration(stmt.TimeoutMs)*time.Millisecond, rejected)
+	if attempt == nil {
 		return
 	}
-	s.checkDrain(a)
+	s.checkDrain(attempt)
 	state.mu.Lock()
-	state.attempt = a
+	state.attempt = attempt
 	state.mu.Unlock()
-	work := time.Duration(rand.ExpFloat64() * float64(a.request.Class.MeanWork))
+	work := time.Duration(rand.ExpFloat64() * float64(attempt.request.Class.MeanWork))
 	if rejected {
 		work = 0
 	}
 	s.schedule(work, func() {
-		s.ledger.EndAttempt(a) // before the answer, since the pooler may send the next attempt at once
-		_, _ = c.Write(s.answer(stmt.ID, rejected))
+		s.ledger.EndAttempt(attempt) // before the answer, since the pooler may send the next attempt at once
+		_, _ = conn.Write(s.answer(stmt.ID, rejected))
 	})
 }
 
 // checkDrain checks that the attempt did not arrive more than drainGrace after the time at which the server's drain counts as
 // known.
-func (s *Server) checkDrain(a *Attempt) {
+func (s *Server) checkDrain(attempt *Attempt) {
 	s.mu.Lock()
 	drainKnownAt := s.drainKnownAt
 	s.mu.Unlock()
-	if drainKnownAt.IsZero() || !a.arrived.After(drainKnownAt.Add(drainGrace+timingTolerance)) {
+	if drainKnownAt.IsZero() || !attempt.arrived.After(drainKnownAt.Add(drainGrace+timingTolerance)) {
 		return
 	}
-	if s.ledger.WasImpaired(a.request.Pooler, drainKnownAt.Add(-propagationTime), a.arrived) {
+	if s.ledger.WasImpaired(attempt.request.Pooler, drainKnownAt.Add(-propagationTime), attempt.arrived) {
 		return // the pooler may have been unable to read the change
 	}
-	s.ledger.AddViolation(RuleDrain, "%s of %s at %s: to %s, %v after its drain counts as known", a.request.ID,
-		a.request.Class.Name, a.request.Pooler, s.id, a.arrived.Sub(drainKnownAt))
+	s.ledger.AddViolation(RuleDrain, "%s of %s at %s: to %s, %v after its drain counts as known", attempt.request.ID,
+		attempt.request.Class.Name, attempt.request.Pooler, s.id, attempt.arrived.Sub(drainKnownAt))
 }
 
 // schedule runs f after the given time of work, and not while the server hangs.
@@ -221,7 +221,7 @@
 	return pgwire.AppendReady(pgwire.AppendComplete(pgwire.AppendRow(nil, "content", text), "SHOW"))
 }
 
-// Hang makes the server answer nothing for the duration d. It still reads what arrives.
+// Hang makes the server answer no statement for the duration d. It still accepts connections and reads what arrives.
 func (s *Server) Hang(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulator/settings.go
+++ b/internal/emulator/settings.go
@@ -12,10 +12,10 @@
 type Class struct {
 	Name          string
 	ReadPolicy    string // value in family_info.class_read
-	Effect        string
+	Effect        string // value in request_classes.effect
 	LatencyTarget time.Duration
 	Deadline      time.Duration
-	MeanWork      time.Duration // mean time that a server takes
+	MeanWork      time.Duration // mean time that a server takes for one request
 	AtMostOnce    bool          // whether it must never run twice
 	Share         float64       // share of all requests
 }
@@ -43,7 +43,7 @@
 )
 
 // configuration returns the contents of one pooler's configuration file.
-func configuration(name, listen, discoveryAddr string, seed uint64, poolers int, known discovery.List) ([]byte, error) {
+func configuration(name, listen, discoveryAddr string, seed uint64, poolerCount int, known discovery.List) ([]byte, error) {
 	var requestClasses []map[string]any
 	var readPolicies []string
 	var stalenessBounds []int
@@ -57,7 +57,7 @@
 		"limits": map[string]any{"cores": 1.0, "memory_mb": poolerMemoryMB, "sockets": poolerSockets},
 		"known":  known,
 		"settings": map[string]any{
-			"siblings": poolers, "slot_no": 0, "tick_ns": 2_000_000, "my_zone": 0, "zones": []string{"room"},
+			"siblings": poolerCount, "slot_no": 0, "tick_ns": 2_000_000, "my_zone": 0, "zones": []string{"room"},
 			"kinds": []string{"small"}, "weights": "nominal", "membership_mode": "ask",
 			"allowed": map[string]any{"connect_timeout_ns": connectTimeout.Nanoseconds(),
 				"idle_close_ns": idleTimeout.Nanoseconds(), "max_attempts": 8, "max_retry_after_ns": 2_000_000_000,
