--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -129,12 +129,12 @@
 
 // nextRequests draws the requests to send next.
 func (c *Client) nextRequests() []*Request {
-	n := 1
+	count := 1
 	if c.rng.Float64() < pipelineShare {
-		n += 1 + c.rng.IntN(2)
+		count += 1 + c.rng.IntN(2)
 	}
 	var requests []*Request
-	for range n {
+	for range count {
 		c.sent++
 		requests = append(requests, &Request{ID: fmt.Sprintf("%s-%d", c.name, c.sent), Class: c.drawClass(),
 			Pooler: c.process.Name})
@@ -172,14 +172,14 @@
 	if startupPending {
 		data = startupMessage()
 	}
-	for _, r := range requests {
-		data = append(data, c.query(r)...)
+	for _, request := range requests {
+		data = append(data, c.query(request)...)
 	}
-	for i, r := range requests {
+	for i, request := range requests {
 		if i > 0 {
-			r.previous = requests[i-1]
+			request.previous = requests[i-1]
 		}
-		c.ledger.Begin(r)
+		c.ledger.Begin(request)
 	}
 	_, err := c.conn.Write(data)
 	disconnects := c.rng.Float64() < disconnectShare
@@ -194,17 +194,17 @@
 			return
 		}
 	}
-	for i, r := range requests {
-		ans := c.awaitAnswer(r)
+	for i, request := range requests {
+		ans := c.awaitAnswer(request)
 		if ans.outcome == Open || ans.incomplete {
 			c.endUnanswered(requests[i:], ans)
 			return
 		}
 		c.newConn = false
-		if ans.outcome == Served && string(ans.value) != string(expectedValue(r.ID)) {
-			c.ledger.AddViolation(RuleWrong, "%s is answered with %q", r.ID, ans.value)
+		if ans.outcome == Served && string(ans.value) != string(expectedValue(request.ID)) {
+			c.ledger.AddViolation(RuleWrong, "%s is answered with %q", request.ID, ans.value)
 		}
-		c.ledger.End(r, ans.outcome)
+		c.ledger.End(request, ans.outcome)
 	}
 }
 
@@ -284,37 +284,39 @@
 	c.closeConn()
 	now := time.Now()
 	time.Sleep(timingTolerance) // an exit of the process may be noticed later than the close
-	for i, r := range requests {
+	for i, request := range requests {
 		if i == 0 && ans.outcome != Open { // an error in answer to the startup message applies to all requests sent with it
 			for _, rest := range requests {
 				c.ledger.End(rest, ans.outcome)
 			}
 			return
 		}
-		c.ledger.End(r, c.unansweredOutcome(r, ans, now))
+		c.ledger.End(request, c.unansweredOutcome(request, ans, now))
 	}
 }
 
 // unansweredOutcome returns the outcome of a request without an answer, whose connection ended at the time now.
-func (c *Client) unansweredOutcome(r *Request, ans answer, now time.Time) Outcome {
+func (c *Client) unansweredOutcome(request *Request, ans answer, now time.Time) Outcome {
 	execution := c.process.Execution(c.execution)
 	switch {
 	case !execution.KilledAt.IsZero() && execution.TermAt.IsZero():
 		return PoolerKilled
-	case !execution.KilledAt.IsZero() && (execution.KilledAt.Sub(r.Sent) < 2*timingTolerance ||
-		c.ledger.WasImpaired(c.process.Name, r.Sent, execution.KilledAt)):
+	case !execution.KilledAt.IsZero() && (execution.KilledAt.Sub(request.Sent) < 2*timingTolerance ||
+		c.ledger.WasImpaired(c.process.Name, request.Sent, execution.KilledAt)):
 		return PoolerKilled
-	case !execution.ExitedAt.IsZero() && r.Sent.After(execution.ExitedAt.Add(-timingTolerance)) && !c.ledger.Forwarded(r):
+	case !execution.ExitedAt.IsZero() && request.Sent.After(execution.ExitedAt.Add(-timingTolerance)) &&
+		!c.ledger.Forwarded(request):
 		return PoolerDown
 	}
-	r.Note = fmt.Sprintf("after %v: %v; new connection: %v; process: %v", now.Sub(r.Sent), ans.err, c.newConn, execution)
+	request.Note = fmt.Sprintf("after %v: %v; new connection: %v; process: %v", now.Sub(request.Sent), ans.err, c.newConn,
+		execution)
 	switch {
 	case ans.timedOut:
 		return Unanswered
-	case !c.ledger.Forwarded(r) && c.ledger.WasImpaired(c.process.Name, r.Sent.Add(-timingTolerance), now):
+	case !c.ledger.Forwarded(request) && c.ledger.WasImpaired(c.process.Name, request.Sent.Add(-timingTolerance), now):
 		// Whether the pooler read the request can't be seen from here. If it did, its own invariants count the violation.
 		return CloseRace
-	case !c.ledger.Forwarded(r) && (!c.newConn || !execution.TermAt.IsZero()) && now.Sub(r.Sent) < timingTolerance:
+	case !c.ledger.Forwarded(request) && (!c.newConn || !execution.TermAt.IsZero()) && now.Sub(request.Sent) < timingTolerance:
 		// The pooler may close an established connection while a request is on its way. After SIGTERM it may close a new one as
 		// well: by then, the operator's load balancer sends it no more clients.
 		return CloseRace
--- a/internal/emulator/environment.go
+++ b/internal/emulator/environment.go
@@ -109,7 +109,7 @@
 		return nil, err
 	}
 	e.servers, e.serverGroups = append(e.servers, server), append(e.serverGroups, group)
-	started := int64(0)
+	started := int64(0) // the initial servers do not count as recently started
 	if e.serversStarted > groupCount*(1+replicasPerGroup) {
 		started = time.Now().UnixMilli()
 	}
--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -55,7 +55,7 @@
 	At        time.Duration
 	Kind      FaultKind
 	Target    int           // selects the pooler or server
-	Duration  time.Duration // how long it lasts; for FaultRestart and FaultCrash, the pause before the process is started again
+	Duration  time.Duration // how long it lasts; for FaultRestart and FaultCrash, the pause before the new start
 	Injection string        // for FaultSystemCall: the call, the error and which calls fail
 	Count     int           // from 1 to 5; apply derives from it, for example, the number of SIGHUPs or of idle clients
 }
@@ -122,32 +122,32 @@
 // meanFaultInterval is the mean time between two faults.
 const meanFaultInterval = 350 * time.Millisecond
 
-// warmUp is the time before the first fault.
+// warmUp is the time at the start of a run in which no fault begins.
 const warmUp = time.Second
 
 // Plan draws the faults of a run. The plan depends on the seed of rng and the other arguments only.
 func Plan(rng *rand.Rand, length time.Duration, poolers, servers int) []Fault {
 	var plan []Fault
-	sum := 0
-	for _, w := range faultWeights {
-		sum += w.weight
+	totalWeight := 0
+	for _, entry := range faultWeights {
+		totalWeight += entry.weight
 	}
 	for at := warmUp; ; {
 		at += time.Duration(rng.ExpFloat64() * float64(meanFaultInterval))
 		if at >= length {
 			return plan
 		}
-		x := rng.IntN(sum)
-		for _, w := range faultWeights {
-			if x -= w.weight; x >= 0 {
+		remaining := rng.IntN(totalWeight)
+		for _, entry := range faultWeights {
+			if remaining -= entry.weight; remaining >= 0 {
 				continue
 			}
-			f := Fault{At: at, Kind: w.kind, Target: rng.IntN(poolers * servers), Count: 1 + rng.IntN(5),
-				Duration: time.Duration((0.05 + 0.95*rng.Float64()) * float64(w.maxDuration))}
-			if w.kind == FaultSystemCall {
-				f.Injection = drawSystemCall(rng)
+			fault := Fault{At: at, Kind: entry.kind, Target: rng.IntN(poolers * servers), Count: 1 + rng.IntN(5),
+				Duration: time.Duration((0.05 + 0.95*rng.Float64()) * float64(entry.maxDuration))}
+			if entry.kind == FaultSystemCall {
+				fault.Injection = drawSystemCall(rng)
 			}
-			plan = append(plan, f)
+			plan = append(plan, fault)
 			break
 		}
 	}
@@ -155,12 +155,12 @@
 
 // drawSystemCall draws a system call, its error and which calls fail: the first, the first three, or all.
 func drawSystemCall(rng *rand.Rand) string {
-	s := systemCalls[rng.IntN(len(systemCalls))]
+	choice := systemCalls[rng.IntN(len(systemCalls))]
 	when := []string{"1", "1..3", "1+"}[rng.IntN(3)]
-	if when == "1+" && s.call == pollCalls {
-		s.call = loopPollCall
+	if when == "1+" && choice.call == pollCalls {
+		choice.call = loopPollCall
 	}
-	return s.call + " " + s.errnos[rng.IntN(len(s.errnos))] + " " + when
+	return choice.call + " " + choice.errnos[rng.IntN(len(choice.errnos))] + " " + when
 }
 
 // signalSeries are the series of signals that may follow a SIGTERM.
--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -62,8 +62,8 @@
 	timeoutGrace = 150 * time.Millisecond
 	// drainGrace is how long attempts may still begin at a server after its drain counts as known.
 	drainGrace = 2 * time.Second
-	// propagationTime is the time after which a change in discovery counts as known to every pooler. It runs from the change,
-	// or from the moment at which discovery can be reached again if that is later.
+	// propagationTime is the time after which a change in discovery counts as known to every pooler. It runs from the change
+	// or, if discovery is down at that moment, from the end of the outage.
 	propagationTime = 6 * time.Second
 	// timingTolerance covers the inaccuracy of this process's own time measurements.
 	timingTolerance = 60 * time.Millisecond
