--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -12,7 +12,7 @@
 
 // The kinds of fault.
 const (
-	// FaultPause stops a pooler's process for up to 0.15 s.
+	// FaultPause pauses a pooler's process for up to 0.15 s.
 	FaultPause FaultKind = "stand"
 	// FaultRestart is a planned restart of a pooler by SIGTERM, which further signals may follow.
 	FaultRestart FaultKind = "restart"
@@ -30,13 +30,13 @@
 	FaultHang FaultKind = "hang"
 	// FaultSlow makes a server slow.
 	FaultSlow FaultKind = "slow"
-	// FaultReset resets connections to a server.
+	// FaultReset resets about half of the connections to a server.
 	FaultReset FaultKind = "reset"
-	// FaultResetIdle resets the idle connections to a server.
+	// FaultResetIdle resets all idle connections to a server.
 	FaultResetIdle FaultKind = "reset_idle"
 	// FaultServerDown makes a server refuse connections for a while.
 	FaultServerDown FaultKind = "server_down"
-	// FaultDrain drains a replica, removes it and adds another one in its place.
+	// FaultDrain drains a replica, adds another one in its place, and removes the drained one.
 	FaultDrain FaultKind = "drain"
 	// FaultDiscoveryDown makes discovery unavailable.
 	FaultDiscoveryDown FaultKind = "directory"
@@ -55,9 +55,9 @@
 	At        time.Duration
 	Kind      FaultKind
 	Target    int           // selects the pooler or server
-	Duration  time.Duration // how long it lasts
+	Duration  time.Duration // how long it lasts; for FaultRestart and FaultCrash, the pause before the new start
 	Injection string        // for FaultSystemCall: the call, the error and which calls fail
-	Count     int           // a number between 1 and 5, whose meaning depends on the kind
+	Count     int           // from 1 to 5; apply derives from it, for example, the number of SIGHUPs or of idle clients
 }
 
 // String describes the fault in one line.
@@ -93,8 +93,8 @@
 }
 
 // The system calls that wait for events. If strace detaches while it makes a call fail, the call returns ENOSYS, which Linux
-// itself never returns and on which Go's runtime aborts the process. The runtime's call is therefore made to fail a few times
-// only, not until strace detaches.
+// itself never returns and on which Go's runtime aborts the process. The runtime's call is therefore made to fail at most three
+// times, and not until strace detaches.
 const (
 	// pollCalls are the calls of the pooler's event loop (epoll_wait) and of Go's runtime (epoll_pwait).
 	pollCalls = "epoll_wait,epoll_pwait"
@@ -122,32 +122,32 @@
 // meanFaultInterval is the mean time between two faults.
 const meanFaultInterval = 350 * time.Millisecond
 
-// warmUp is the time before the first fault.
+// warmUp is the time at the start of a run in which no fault begins.
 const warmUp = time.Second
 
 // Plan draws the faults of a run. The plan depends on the seed of rng and the other arguments only.
 func Plan(rng *rand.Rand, length time.Duration, poolers, servers int) []Fault {
 	var plan []Fault
-	sum := 0
-	for _, w := range faultWeights {
-		sum += w.weight
+	totalWeight := 0
+	for _, entry := range faultWeights {
+		totalWeight += entry.weight
 	}
 	for at := warmUp; ; {
 		at += time.Duration(rng.ExpFloat64() * float64(meanFaultInterval))
 		if at >= length {
 			return plan
 		}
-		x := rng.IntN(sum)
-		for _, w := range faultWeights {
-			if x -= w.weight; x >= 0 {
+		remaining := rng.IntN(totalWeight)
+		for _, entry := range faultWeights {
+			if remaining -= entry.weight; remaining >= 0 {
 				continue
 			}
-			f := Fault{At: at, Kind: w.kind, Target: rng.IntN(poolers * servers), Count: 1 + rng.IntN(5),
-				Duration: time.Duration((0.05 + 0.95*rng.Float64()) * float64(w.maxDuration))}
-			if w.kind == FaultSystemCall {
-				f.Injection = drawSystemCall(rng)
+			fault := Fault{At: at, Kind: entry.kind, Target: rng.IntN(poolers * servers), Count: 1 + rng.IntN(5),
+				Duration: time.Duration((0.05 + 0.95*rng.Float64()) * float64(entry.maxDuration))}
+			if entry.kind == FaultSystemCall {
+				fault.Injection = drawSystemCall(rng)
 			}
-			plan = append(plan, f)
+			plan = append(plan, fault)
 			break
 		}
 	}
@@ -155,12 +155,12 @@
 
 // drawSystemCall draws a system call, its error and which calls fail: the first, the first three, or all.
 func drawSystemCall(rng *rand.Rand) string {
-	s := systemCalls[rng.IntN(len(systemCalls))]
+	choice := systemCalls[rng.IntN(len(systemCalls))]
 	when := []string{"1", "1..3", "1+"}[rng.IntN(3)]
-	if when == "1+" && s.call == pollCalls {
-		s.call = loopPollCall
+	if when == "1+" && choice.call == pollCalls {
+		choice.call = loopPollCall
 	}
-	return s.call + " " + s.errnos[rng.IntN(len(s.errnos))] + " " + when
+	return choice.call + " " + choice.errnos[rng.IntN(len(choice.errnos))] + " " + when
 }
 
 // signalSeries are the series of signals that may follow a SIGTERM.
