--- a/cmd/beechgrade/end_to_end_test.go
+++ b/cmd/beechgrade/end_to_end_test.go
@@ -61,8 +61,8 @@
 		case 0:
 			return types + "$" + detail
 		case 'D':
-			v, _ := pgwire.ParseColumn(body)
-			detail = " " + string(v)
+			value, _ := pgwire.ParseColumn(body)
+			detail = " " + string(value)
 		case 'E':
 			detail = " " + pgwire.ErrorCode(body)
 		}
@@ -104,16 +104,16 @@
 // startServer starts a scripted server. It accepts connections, answers the startup message and sends the queries that it
 // receives to the channel. The test answers them.
 func startServer(t *testing.T) (addr string, queries <-chan receivedQuery) {
-	l := listen(t)
+	listener := listen(t)
 	ch := make(chan receivedQuery, 100)
 	go func() {
 		for n := 1; ; n++ {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func(n int) {
-				p := newPeer(t, c)
+				p := newPeer(t, conn)
 				var size [4]byte
 				if _, err := io.ReadFull(p.in, size[:]); err != nil {
 					return
@@ -132,7 +132,7 @@
 			}(n)
 		}
 	}()
-	return l.Addr().String(), ch
+	return listener.Addr().String(), ch
 }
 
 func listen(t *testing.T) net.Listener {
@@ -144,7 +144,7 @@
 	return l
 }
 
-// nextQuery returns the next query that the server receives.
+// nextQuery returns the next query that the server receives, or the next end of a connection.
 func nextQuery(t *testing.T, queries <-chan receivedQuery) receivedQuery {
 	t.Helper()
 	select {
@@ -242,16 +242,16 @@
 func TestFragmentedAndPipelinedInput(t *testing.T) {
 	addr, queries := startServer(t)
 	poolerAddr, _, _ := start(t, addr, nil)
-	c := dial(t, poolerAddr)
-	c.send([]byte{0, 0, 0, 8, 4, 210, 22, 47})
-	if b, _ := c.in.ReadByte(); b != 'N' {
-		t.Fatalf("the answer to the encryption request is %q", b)
+	client := dial(t, poolerAddr)
+	client.send([]byte{0, 0, 0, 8, 4, 210, 22, 47})
+	if b, _ := client.in.ReadByte(); b != 'N' {
+		t.Fatalf("the answer to the encryption request is %q, want 'N'", b)
 	}
 	for _, b := range append(pgwire.AppendStartup(nil, "backend", "store"), query("1", "read", 9000)...) {
-		c.send([]byte{b})
+		client.send([]byte{b})
 	}
-	c.wantAnswer("RSSSSZ")
-	c.send(append(append(query("2", "read", 9000), pgwire.AppendQuery(nil, "")...), query("3", "reads", 9000)...))
+	client.wantAnswer("RSSSSZ")
+	client.send(append(append(query("2", "read", 9000), pgwire.AppendQuery(nil, "")...), query("3", "reads", 9000)...))
 	received := map[string]receivedQuery{}
 	for n := range 2 {
 		q := nextQuery(t, queries)
@@ -267,11 +267,11 @@
 	received["2"].send(row("v2"))
 	received["1"].send(row("v1"))
 	for _, want := range []string{"TDCZ v1", "TDCZ v2", "IZ", "EZ 42601"} {
-		c.wantAnswer(want)
+		client.wantAnswer(want)
 	}
-	c.send(query("4", "read", 9000))
+	client.send(query("4", "read", 9000))
 	if q := nextQuery(t, queries); q.conn > 2 {
-		t.Errorf("the query arrived on connection %d, want a reused one", q.conn)
+		t.Errorf("the query arrived on connection %d, want a reused one, 1 or 2", q.conn)
 	}
 }
 
@@ -281,12 +281,12 @@
 func TestPipelineLongerThanQueue(t *testing.T) {
 	addr, queries := startServer(t)
 	poolerAddr, _, _ := start(t, addr, nil)
-	c := connect(t, poolerAddr)
+	client := connect(t, poolerAddr)
 	var input []byte
 	for n := range 40 {
 		input = append(input, query(fmt.Sprint(n), "read", 9000)...)
 	}
-	c.send(append(input, "? noise"...))
+	client.send(append(input, "? noise"...))
 	go func() {
 		for q := range queries {
 			if at := strings.Index(q.sql, "id="); at >= 0 {
@@ -295,9 +295,9 @@
 		}
 	}()
 	for n := range 40 {
-		c.wantAnswer(fmt.Sprint("TDCZ ", n))
+		client.wantAnswer(fmt.Sprint("TDCZ ", n))
 	}
-	c.wantAnswer("E$ 08P01")
+	client.wantAnswer("E$ 08P01")
 }
 
 // TestResetWriteIsNotRetried tests that a write whose connection to the server breaks after its last byte was sent is not sent
@@ -305,12 +305,12 @@
 func TestResetWriteIsNotRetried(t *testing.T) {
 	addr, queries := startServer(t)
 	poolerAddr, _, _ := start(t, addr, nil)
-	c := connect(t, poolerAddr)
-	c.send(query("1", "write", 9000))
+	client := connect(t, poolerAddr)
+	client.send(query("1", "write", 9000))
 	_ = nextQuery(t, queries).Close()
-	c.wantAnswer("EZ 58000")
+	client.wantAnswer("EZ 58000")
 	if q := nextQuery(t, queries); q.sql != "(gone)" || len(queries) != 0 {
-		t.Errorf("the server received %q", q.sql)
+		t.Errorf("the server received %q, want only the end of the connection", q.sql)
 	}
 }
 
@@ -320,21 +320,21 @@
 	for name, handleConn := range map[string]func(net.Conn){
 		"breaks": func(c net.Conn) { _ = c.Close() }, "is not established": func(net.Conn) {}} {
 		t.Run(name, func(t *testing.T) {
-			l := listen(t)
+			listener := listen(t)
 			go func() {
 				for {
-					c, err := l.Accept()
+					conn, err := listener.Accept()
 					if err != nil {
 						return
 					}
-					t.Cleanup(func() { _ = c.Close() })
-					handleConn(c)
+					t.Cleanup(func() { _ = conn.Close() })
+					handleConn(conn)
 				}
 			}()
-			poolerAddr, _, _ := start(t, l.Addr().String(), nil, func(c *config.Config) { c.ConnectTimeoutMs = 50 })
-			c := connect(t, poolerAddr)
-			c.send(query("1", "write", 400))
-			c.wantAnswer("EZ 53300")
+			poolerAddr, _, _ := start(t, listener.Addr().String(), nil, func(c *config.Config) { c.ConnectTimeoutMs = 50 })
+			client := connect(t, poolerAddr)
+			client.send(query("1", "write", 400))
+			client.wantAnswer("EZ 53300")
 		})
 	}
 }
@@ -345,16 +345,16 @@
 func TestMalformedAnswer(t *testing.T) {
 	addr, queries := startServer(t)
 	poolerAddr, _, _ := start(t, addr, nil)
-	c := connect(t, poolerAddr)
+	client := connect(t, poolerAddr)
 	good := string(row("v"))
 	for n, bad := range []string{"\xbf noise", strings.Replace(good, "D\x00", "q\x00", 1),
 		good[:len(good)-6] + "Z\x00\x00\x00\x05T",
 		strings.Replace(good, "D\x00\x00\x00\x0b", "D\xc0\x00\x00\x0b", 1),
 		strings.Replace(good, "D\x00\x00\x00\x0b", "D\x00\x00\x00\x02", 1)} {
-		c.send(query("1", "write", 9000))
+		client.send(query("1", "write", 9000))
 		q := nextQuery(t, queries)
 		q.send([]byte(bad))
-		c.wantAnswer("EZ 58000")
+		client.wantAnswer("EZ 58000")
 		if closed := nextQuery(t, queries); closed.sql != "(gone)" || q.conn != n+1 {
 			t.Fatalf("%q: the server received %q, want the end of the connection; the write arrived on connection %d",
 				bad, closed.sql, q.conn)
@@ -367,20 +367,20 @@
 func TestIncompleteAnswer(t *testing.T) {
 	addr, queries := startServer(t)
 	poolerAddr, _, _ := start(t, addr, nil)
-	c := connect(t, poolerAddr)
+	client := connect(t, poolerAddr)
 	for n, class := range []string{"read", "write"} {
-		c.send(query("1", class, 19000))
+		client.send(query("1", class, 19000))
 		q := nextQuery(t, queries)
 		q.send(row("v")[:20])
 		if closed := nextQuery(t, queries); closed.sql != "(gone)" || closed.conn != q.conn {
-			t.Fatalf("the server received %q", closed.sql)
+			t.Fatalf("the server received %q, want the end of the connection", closed.sql)
 		}
 		if n == 0 {
 			nextQuery(t, queries).send(row("v"))
-			c.wantAnswer("TDCZ v")
+			client.wantAnswer("TDCZ v")
 		}
 	}
-	c.wantAnswer("EZ 58000")
+	client.wantAnswer("EZ 58000")
 }
 
 // TestDataBeyondAnswer tests that a connection to a server is not reused after the server has sent data beyond its answer,
@@ -389,13 +389,13 @@
 func TestDataBeyondAnswer(t *testing.T) {
 	addr, queries := startServer(t)
 	poolerAddr, _, _ := start(t, addr, nil)
-	c := connect(t, poolerAddr)
+	client := connect(t, poolerAddr)
 	for n, extra := range []string{string(row("v")), "\xbf", "S"} {
-		c.send(query("1", "read", 9000))
+		client.send(query("1", "read", 9000))
 		q := nextQuery(t, queries)
 		q.send(append(row("v"), extra...))
-		c.wantAnswer("TDCZ v")
-		c.send(query("2", "read", 9000))
+		client.wantAnswer("TDCZ v")
+		client.send(query("2", "read", 9000))
 		if event := nextQuery(t, queries); event.sql == "(gone)" {
 			q = nextQuery(t, queries)
 		} else {
@@ -403,13 +403,13 @@
 			nextQuery(t, queries)
 		}
 		if q.sql == "(gone)" || q.conn != 2*n+2 {
-			t.Fatalf("%q: the server received %q on connection %d", extra, q.sql, q.conn)
+			t.Fatalf("%q: the server received %q on connection %d, want the request on a new connection", extra, q.sql, q.conn)
 		}
 		q.send(row("w"))
-		c.wantAnswer("TDCZ w")
+		client.wantAnswer("TDCZ w")
 		q.send([]byte(extra))
 		if event := nextQuery(t, queries); event.sql != "(gone)" {
-			t.Fatalf("%q while idle: the server received %q", extra, event.sql)
+			t.Fatalf("%q while idle: the server received %q, want the end of the connection", extra, event.sql)
 		}
 	}
 }
@@ -421,19 +421,19 @@
 	poolerAddr, _, _ := start(t, addr, nil, func(c *config.Config) {
 		c.LastKnownList.Instances[0].Role, c.Settings.MayProbe = "replica", true
 	})
-	c := connect(t, poolerAddr)
-	c.send(query("1", "write", 9000))
-	q := nextQuery(t, queries)
-	if q.sql != "SHOW load" {
-		t.Fatalf("the server received %q, want a probe", q.sql)
+	client := connect(t, poolerAddr)
+	client.send(query("1", "write", 9000))
+	received := nextQuery(t, queries)
+	if received.sql != "SHOW load" {
+		t.Fatalf("the server received %q, want a probe", received.sql)
 	}
-	q.send(row(fmt.Sprintf("x0=%d.25,x1=1", time.Now().Unix()-1)))
-	q = nextQuery(t, queries)
-	if !strings.Contains(q.sql, "id=1,") || q.conn != 1 {
-		t.Fatalf("the server received %q on connection %d", q.sql, q.conn)
+	received.send(row(fmt.Sprintf("x0=%d.25,x1=1", time.Now().Unix()-1)))
+	received = nextQuery(t, queries)
+	if !strings.Contains(received.sql, "id=1,") || received.conn != 1 {
+		t.Fatalf("the server received %q on connection %d, want the write on connection 1", received.sql, received.conn)
 	}
-	q.send(row("v"))
-	c.wantAnswer("TDCZ v")
+	received.send(row("v"))
+	client.wantAnswer("TDCZ v")
 }
 
 // TestClientDisconnects tests that the attempt of a client that has disconnected is cancelled by closing its connection to the
@@ -441,18 +441,18 @@
 func TestClientDisconnects(t *testing.T) {
 	addr, queries := startServer(t)
 	poolerAddr, _, _ := start(t, addr, nil)
-	c := connect(t, poolerAddr)
-	c.send(query("1", "read", 9000))
+	client := connect(t, poolerAddr)
+	client.send(query("1", "read", 9000))
 	nextQuery(t, queries)
-	_ = c.Close()
+	_ = client.Close()
 	if q := nextQuery(t, queries); q.sql != "(gone)" || q.conn != 1 {
-		t.Fatalf("after the client disconnected, the server received %q", q.sql)
+		t.Fatalf("after the client disconnected, the server received %q, want the end of connection 1", q.sql)
 	}
-	c = connect(t, poolerAddr)
-	c.send(query("2", "read", 9000))
+	client = connect(t, poolerAddr)
+	client.send(query("2", "read", 9000))
 	q := nextQuery(t, queries)
 	q.send(row("v"))
-	if c.wantAnswer("TDCZ v"); q.conn != 2 {
+	if client.wantAnswer("TDCZ v"); q.conn != 2 {
 		t.Errorf("the query arrived on connection %d, want 2", q.conn)
 	}
 }
@@ -462,23 +462,23 @@
 func TestProtocolErrorClosesOnlyItsConnection(t *testing.T) {
 	addr, queries := startServer(t)
 	poolerAddr, _, _ := start(t, addr, nil)
-	c := connect(t, poolerAddr)
+	client := connect(t, poolerAddr)
 	for name, bad := range map[string][]byte{
 		"too long": {'Q', 127, 0, 0, 0}, "unknown type": {0, 0, 0, 0, 4}, "unterminated text": {'Q', 0, 0, 0, 5, 'x'}} {
 		p := connect(t, poolerAddr)
 		p.send(bad)
 		if got := p.readAnswer(); got != "E$ 08P01" {
-			t.Errorf("%s: %q", name, got)
+			t.Errorf("%s: got %q, want code 08P01 and the end of the connection", name, got)
 		}
 	}
 	for sql, want := range map[string]string{"SELECT 1": "EZ 42601", "SET a = 1": "CZ", ";": "IZ",
 		"SELECT 1 /* id=1,c=other,d=5 */": "EZ 42601"} {
-		c.send(pgwire.AppendQuery(nil, sql))
-		c.wantAnswer(want)
+		client.send(pgwire.AppendQuery(nil, sql))
+		client.wantAnswer(want)
 	}
-	c.send(query("1", "read", 9000))
+	client.send(query("1", "read", 9000))
 	nextQuery(t, queries).send(row("v"))
-	c.wantAnswer("TDCZ v")
+	client.wantAnswer("TDCZ v")
 }
 
 // TestInvalidRequest tests that an invalid request is answered with an error and never reaches a server: a request with the id
@@ -486,9 +486,9 @@
 func TestInvalidRequest(t *testing.T) {
 	addr, queries := startServer(t)
 	poolerAddr, _, _ := start(t, addr, nil)
-	c, other := connect(t, poolerAddr), connect(t, poolerAddr)
-	c.send(query("1", "read", 9000))
-	q := nextQuery(t, queries)
+	client, other := connect(t, poolerAddr), connect(t, poolerAddr)
+	client.send(query("1", "read", 9000))
+	pending := nextQuery(t, queries)
 	other.send(query("1", "read", 9000))
 	other.wantAnswer("EZ 42601")
 	for sql, want := range map[string]string{
@@ -500,17 +500,18 @@
 		other.wantAnswer(want)
 	}
 	if len(queries) > 0 {
-		t.Errorf("the server received %q", (<-queries).sql)
+		t.Errorf("the server received the invalid request %q", (<-queries).sql)
 	}
-	q.send(row("v"))
-	c.wantAnswer("TDCZ v")
+	pending.send(row("v"))
+	client.wantAnswer("TDCZ v")
 	other.send(query("1", "read", 9000)) // the id is not in use any more
 	nextQuery(t, queries).send(row("w"))
 	other.wantAnswer("TDCZ w")
 }
 
 // TestSilentClients tests that clients which connect and send nothing, or only a part of a message, are disconnected soon, and
-// at once if a client with a request needs a descriptor. A client with an open request must not be affected.
+// at once if a new client needs a descriptor. The new client must be served, and a client with an open request must not be
+// affected.
 func TestSilentClients(t *testing.T) {
 	addr, queries := startServer(t)
 	poolerAddr, _, _ := start(t, addr, nil, func(c *config.Config) {
@@ -518,19 +519,19 @@
 	})
 	busy := connect(t, poolerAddr)
 	busy.send(query("1", "read", 9000))
-	q := nextQuery(t, queries)
+	pending := nextQuery(t, queries)
 	var silent []*peer
 	for range 20 {
 		silent = append(silent, dial(t, poolerAddr))
 	}
-	c := connect(t, poolerAddr)
-	c.send(query("2", "read", 9000))
-	q2 := nextQuery(t, queries)
-	q2.send(row("w"))
-	c.wantAnswer("TDCZ w")
+	client := connect(t, poolerAddr)
+	client.send(query("2", "read", 9000))
+	second := nextQuery(t, queries)
+	second.send(row("w"))
+	client.wantAnswer("TDCZ w")
 	for _, p := range silent {
 		if got := p.readAnswer(); got != "$" {
-			t.Errorf("a silent client received %q", got)
+			t.Errorf("a silent client received %q, want only the end of the connection", got)
 		}
 	}
 	for name, part := range map[string][]byte{"startup": {0, 0, 0, 50, 0, 3},
@@ -538,12 +539,12 @@
 		p := dial(t, poolerAddr)
 		p.send(part)
 		if got := strings.TrimPrefix(p.readAnswer(), "RSSSSZ"); name == "startup" && got != "E$ 08P01" {
-			t.Errorf("%s: received %q", name, got)
+			t.Errorf("%s: received %q, want code 08P01 and the end of the connection", name, got)
 		} else if name == "message" {
 			p.wantAnswer("E$ 08P01")
 		}
 	}
-	q.send(row("v"))
+	pending.send(row("v"))
 	busy.wantAnswer("TDCZ v")
 }
 
@@ -570,7 +571,7 @@
 		clients = append(clients, connect(t, poolerAddr))
 		sendRequest(clients[len(clients)-1])
 	}
-	time.Sleep(2 * 20 * time.Millisecond) // until the clients are idle
+	time.Sleep(2 * 20 * time.Millisecond) // twice the idle time after which a connection may be closed
 	clients = append(clients, connect(t, poolerAddr))
 	sendRequest(clients[50])
 	for _, c := range clients[:11] { // 40 of the 51 clients stay connected
@@ -594,14 +595,14 @@
 		connect(t, poolerAddr).send(query(fmt.Sprint(n), "write", 19000)) // never answered
 	}
 	for range 20 {
-		c := dial(t, poolerAddr)
-		c.send(append(pgwire.AppendStartup(nil, "backend", "store"), query("x", "read", 9000)...))
-		if typ, body := c.readMessage(); typ != 'E' || pgwire.ErrorCode(body) != "53300" ||
+		client := dial(t, poolerAddr)
+		client.send(append(pgwire.AppendStartup(nil, "backend", "store"), query("x", "read", 9000)...))
+		if typ, body := client.readMessage(); typ != 'E' || pgwire.ErrorCode(body) != "53300" ||
 			!strings.Contains(string(body), "\x00D1500\x00") {
-			t.Fatalf("received %q %q", typ, body)
+			t.Fatalf("received %q %q, want an error with code 53300 and 1500 ms in field D", typ, body)
 		}
-		c.wantAnswer("$")
-		_ = c.Close()
+		client.wantAnswer("$")
+		_ = client.Close()
 	}
 }
 
@@ -627,25 +628,25 @@
 		select {
 		case got := <-requests:
 			if got != "/v1/endpoints?watch=1&from=4" {
-				t.Fatalf("request %s", got)
+				t.Fatalf("got the request %s, want a watch from generation 4", got)
 			}
 		case <-time.After(testTimeout):
 			t.Fatal("no watch was requested")
 		}
 	}
-	c := connect(t, poolerAddr)
+	client := connect(t, poolerAddr)
 	go func() {
 		for q := range queries {
 			q.send(row("v"))
 		}
 	}()
 	for deadline := time.Now().Add(testTimeout); ; { // the server may receive requests until the event has arrived
-		c.send(query("1", "read", 400))
-		switch got := c.readAnswer(); {
+		client.send(query("1", "read", 400))
+		switch got := client.readAnswer(); {
 		case got == "EZ 53300":
 			return
 		case got != "TDCZ v":
-			t.Fatalf("got %q", got)
+			t.Fatalf("got %q, want the row or a refusal", got)
 		case time.Now().After(deadline):
 			t.Fatal("a draining server still receives requests")
 		}
@@ -663,7 +664,7 @@
 		select {
 		case got := <-requests:
 			if got != "/v1/endpoints?watch=1&from=4" {
-				t.Fatalf("request %s", got)
+				t.Fatalf("got the request %s, want a watch from generation 4", got)
 			}
 		case <-time.After(testTimeout):
 			t.Fatal("no watch was requested")
@@ -716,11 +717,11 @@
 		}
 	}
 	wantCall("1/v1/endpoints?watch=1&from=4")
-	c := connect(t, poolerAddr)
+	client := connect(t, poolerAddr)
 	hup <- syscall.SIGHUP
-	c.send(query("1", "read", 9000))
+	client.send(query("1", "read", 9000))
 	nextQuery(t, oldQueries).send(row("v"))
-	c.wantAnswer("TDCZ v")
+	client.wantAnswer("TDCZ v")
 	hup <- syscall.SIGHUP
 	wantCall("2/v1/endpoints?watch=1&from=0")
 	wantCall("2/v1/endpoints") // because the first answer was not the complete list
@@ -729,7 +730,7 @@
 		if time.Now().After(deadline) {
 			t.Fatal("the new list is not used")
 		}
-		c.send(query("2", "read", 9000))
+		client.send(query("2", "read", 9000))
 		for answered := false; !answered; {
 			var q receivedQuery
 			select {
@@ -743,7 +744,7 @@
 				q.send(row("v"))
 			}
 		}
-		c.wantAnswer("TDCZ v")
+		client.wantAnswer("TDCZ v")
 	}
 	if len(calls) > 0 {
 		t.Errorf("unexpected request to discovery: %s", <-calls)
@@ -760,10 +761,10 @@
 		clients = append(clients, connect(t, poolerAddr))
 	}
 	clients[0].send(query("1", "read", 9000)) // makes the client busy
-	q := nextQuery(t, queries)
+	pending := nextQuery(t, queries)
 	connect(t, poolerAddr)
 	clients[1].wantAnswer("$")
-	q.send(row("v"))
+	pending.send(row("v"))
 	clients[0].wantAnswer("TDCZ v")
 	for _, c := range clients[2:] {
 		c.send(pgwire.AppendQuery(nil, ""))
@@ -778,10 +779,10 @@
 	poolerAddr, _, _ := start(t, addr, nil, func(c *config.Config) {
 		c.LastKnownList.Instances[0].Group, c.Settings.MaxRetryAfter = 9, 1500*time.Millisecond
 	})
-	c := connect(t, poolerAddr)
-	c.send(query("1", "read", 400)) // no server belongs to its group
-	if typ, body := c.readMessage(); typ != 'E' || !strings.Contains(string(body), "\x00D1500\x00") {
-		t.Errorf("received %q %q", typ, body)
+	client := connect(t, poolerAddr)
+	client.send(query("1", "read", 400)) // no server belongs to its group
+	if typ, body := client.readMessage(); typ != 'E' || !strings.Contains(string(body), "\x00D1500\x00") {
+		t.Errorf("received %q %q, want an error with 1500 ms in field D", typ, body)
 	}
 }
 
@@ -803,8 +804,8 @@
 		}
 		<-r.Context().Done()
 	})
-	c, other := connect(t, poolerAddr), connect(t, poolerAddr)
-	c.send(query("1", "read", 9000))
+	client, other := connect(t, poolerAddr), connect(t, poolerAddr)
+	client.send(query("1", "read", 9000))
 	pending := nextQuery(t, oldQueries)
 	close(publish)
 	for newAddrUsed, deadline := false, time.Now().Add(testTimeout); !newAddrUsed; { // until the change has arrived
@@ -828,10 +829,10 @@
 		other.wantAnswer("TDCZ v")
 	}
 	pending.send(row("v"))
-	c.wantAnswer("TDCZ v")
-	c.send(query("3", "read", 9000))
+	client.wantAnswer("TDCZ v")
+	client.send(query("3", "read", 9000))
 	nextQuery(t, newQueries).send(row("v3"))
-	c.wantAnswer("TDCZ v3")
+	client.wantAnswer("TDCZ v3")
 }
 
 // TestGracefulShutdown tests that after SIGTERM the open requests are answered, and that new and existing connections stay in
@@ -844,8 +845,8 @@
 			c.Settings.Classes[i].Deadline = 2 * time.Second
 		}
 	})
-	c, idle := connect(t, poolerAddr), connect(t, poolerAddr)
-	c.send(query("1", "read", 9000))
+	client, idle := connect(t, poolerAddr), connect(t, poolerAddr)
+	client.send(query("1", "read", 9000))
 	pending := nextQuery(t, queries)
 	stop <- syscall.SIGTERM
 	startedAt := time.Now()
@@ -856,11 +857,11 @@
 	newClient.send(query("3", "write", 19000)) // never answered
 	nextQuery(t, queries)
 	if got, took := idle.readAnswer(), time.Since(startedAt); got != "$" || took < 2*time.Second {
-		t.Errorf("the idle client received %q after %v", got, took)
+		t.Errorf("the idle client received %q after %v, want the end of the connection after at least 2 s", got, took)
 	}
 	newClient.wantAnswer("EZ 58000")
 	pending.send(row("v1"))
-	c.wantAnswer("TDCZ v1")
+	client.wantAnswer("TDCZ v1")
 	select {
 	case err := <-done:
 		if err != nil {
@@ -870,7 +871,7 @@
 		t.Error("the pooler did not end")
 	}
 	if _, err := net.Dial("tcp", poolerAddr); err == nil || !strings.Contains(err.Error(), "refused") {
-		t.Errorf("after the end: %v", err)
+		t.Errorf("connecting after the end: got error %v, want connection refused", err)
 	}
 }
 
@@ -884,7 +885,7 @@
 			c.Settings.Classes[i].Deadline = time.Second
 		}
 	})
-	c, idle := connect(t, poolerAddr), connect(t, poolerAddr)
+	client, idle := connect(t, poolerAddr), connect(t, poolerAddr)
 	loopPaused, requestSent := make(chan struct{}), make(chan struct{})
 	p.loop.Post(p.beginDrain)
 	p.loop.Post(func() { // blocks the loop until after the time at which it would close the connections and end
@@ -895,11 +896,11 @@
 		}
 	})
 	<-loopPaused
-	c.send(query("1", "read", 9000))
+	client.send(query("1", "read", 9000))
 	close(requestSent)
 	nextQuery(t, queries).send(row("v"))
-	c.wantAnswer("TDCZ v")
-	c.wantAnswer("$")
+	client.wantAnswer("TDCZ v")
+	client.wantAnswer("$")
 	idle.wantAnswer("$")
 	select {
 	case err := <-done:
--- a/cmd/beechgrade/lifecycle.go
+++ b/cmd/beechgrade/lifecycle.go
@@ -39,15 +39,16 @@
 const (
 	// minDrainMs is the time after the signal for which new clients may still connect.
 	minDrainMs = 700
-	// maxLongestDeadlineMs is the limit up to which the longest deadline counts.
+	// maxLongestDeadlineMs is used in place of the longest deadline if that is longer.
 	maxLongestDeadlineMs = 3000
 	// closeClientsAfterMs is the time after the longest deadline at which idle connections of clients are closed.
 	closeClientsAfterMs = 250
 	// answerAllAfterMs is the time after the longest deadline by which all requests received during the drain are answered.
 	answerAllAfterMs = 500
-	// drainCheckIntervalMs is the time between two checks whether the process can end.
+	// drainCheckIntervalMs is the time between two checks of whether the process can end.
 	drainCheckIntervalMs = 20
-	// maxDrainMs is the time after the signal at which the process ends even if a client has not closed its connection.
+	// maxDrainMs is the time after the signal at which the process ends in any case. Without it, a client that does not
+	// disconnect could keep the process running.
 	maxDrainMs = 10000
 )
 
@@ -104,7 +105,7 @@
 	return mayConnect || maySendRequest || d.pooler.hasPendingWork()
 }
 
-// finish ends the service and the loop.
+// finish closes all connections and ends the loop. It records how many requests have no answer.
 func (d *drain) finish(now float64) {
 	p := d.pooler
 	p.setState(ended)
--- a/cmd/beechgrade/main.go
+++ b/cmd/beechgrade/main.go
@@ -83,8 +83,8 @@
 }
 
 func serve(verbose bool) error {
-	// Notify drops a signal if the channel is full. With a separate channel for each purpose that is harmless, because the
-	// signal in the channel has the same effect.
+	// Notify drops a signal if the channel is full. Each purpose has a channel of its own, so that a dropped signal does no
+	// harm: the one that fills the channel has the same effect.
 	stop, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(reload, syscall.SIGHUP)
@@ -99,9 +99,9 @@
 	if verbose {
 		level = slog.LevelDebug
 	}
-	lines := logging.NewWriter(os.Stderr)
-	defer lines.Flush(logFlushTimeout)
-	log := slog.New(slog.NewTextHandler(lines, &slog.HandlerOptions{Level: level})).With("pooler", cfg.Name)
+	logWriter := logging.NewWriter(os.Stderr)
+	defer logWriter.Flush(logFlushTimeout)
+	log := slog.New(slog.NewTextHandler(logWriter, &slog.HandlerOptions{Level: level})).With("pooler", cfg.Name)
 	// The event loop blocks in a system call while it waits. With one processor, the Go runtime runs other goroutines, such as
 	// those for timers and dials, only once its monitor thread has taken the processor away, up to 10 ms later. With two
 	// processors they run at once.
@@ -112,8 +112,8 @@
 	return p.run(stop, reload)
 }
 
-// setMemoryLimit sets the Go runtime's memory limit to 60% of the configured memory. The rest is for stacks and for memory
-// that the limit does not cover.
+// setMemoryLimit sets the Go runtime's memory limit to 60% of the configured memory. The rest is for memory that the limit does
+// not cover, such as that of the kernel's socket buffers, and for moments at which the runtime exceeds the limit.
 func setMemoryLimit(cfg *config.Config) {
 	debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB) << 20 * 6 / 10)
 }
--- a/cmd/beechgrade/main_test.go
+++ b/cmd/beechgrade/main_test.go
@@ -7,6 +7,8 @@
 	"testing"
 )
 
+// TestCommandLine tests the output of each command, and the errors for a missing or unreadable configuration and for an unknown
+// command.
 func TestCommandLine(t *testing.T) {
 	for _, c := range []struct{ args, config, out, err string }{
 		{"version", "", "beechgrade ", ""},
--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -52,7 +52,7 @@
 	p.loop = loop.New(clock.System(), log, func() loop.Handler { return p.front.NewHandler() }, p.start)
 	p.core = core.New(p.loop, log, cfg)
 	usableDescriptors := func() int { return min(p.cfg.Limits.Sockets, p.descriptorLimit) - reservedDescriptors }
-	shareOfDescriptors := func(x float64) int { return int(x * float64(usableDescriptors())) }
+	shareOfDescriptors := func(share float64) int { return int(share * float64(usableDescriptors())) }
 	memoryBytes := func() int { return p.cfg.Limits.MemoryMB << 20 }
 	p.pool = backend.New(p.loop, log, backend.Options{User: "backend", Database: "store",
 		Roles: [2]string{"primary", "replica"}, PositionParameter: "applied_ms",
@@ -87,7 +87,7 @@
 // countersIntervalMs is the time between two log lines with the counters, in milliseconds.
 const countersIntervalMs = 10000
 
-// logCounters logs the counters now and then every countersIntervalMs.
+// logCounters logs the counters, and does so again every countersIntervalMs.
 func (p *pooler) logCounters() {
 	p.loop.Metrics().Log(p.log)
 	p.loop.At(p.loop.Now()+countersIntervalMs, p.logCounters)
@@ -104,8 +104,8 @@
 		"siblings", p.cfg.Settings.RouterCount, "max_retry_after", p.cfg.Settings.MaxRetryAfter)
 }
 
-// run serves until it receives a signal on stop and the drain that this begins has ended. A signal on reload makes it read the
-// configuration again.
+// run serves until a signal arrives on stop and the drain that follows has ended. A signal on reload makes it read the
+// configuration again. It returns an error if the loop fails, ends before the drain has, or leaves requests unanswered.
 func (p *pooler) run(stop, reload <-chan os.Signal) error {
 	go func() {
 		<-stop
--- a/cmd/beechgrade/process_faults_test.go
+++ b/cmd/beechgrade/process_faults_test.go
@@ -50,11 +50,11 @@
 	p, reader := startWithLogPipe(t, addr, true)
 	_ = reader.Close()
 	for n := range 20 {
-		c := connect(t, p.addr)
-		c.send(query(fmt.Sprint(n), "read", 9000))
+		client := connect(t, p.addr)
+		client.send(query(fmt.Sprint(n), "read", 9000))
 		nextQuery(t, queries).send(row("v"))
-		c.wantAnswer("TDCZ v")
-		_ = c.Close()
+		client.wantAnswer("TDCZ v")
+		_ = client.Close()
 		p.signal(syscall.SIGHUP)
 	}
 	p.wantRunning()
@@ -67,24 +67,23 @@
 func TestLogStreamBlocks(t *testing.T) {
 	addr, queries := startServer(t)
 	p, _ := startWithLogPipe(t, addr, true)
-	for n := range 1500 { // each client causes two log lines of over 60 bytes
-		c := connect(t, p.addr)
-		c.send(query(fmt.Sprint(n), "nothing", 9000))
-		c.wantAnswer("EZ 42601")
-		c.send([]byte("X\x00\x00\x00\x04"))
-		c.wantAnswer("$")
+	for n := range 1500 { // each client causes two log lines of over 60 bytes, and a pipe holds 64 KiB
+		client := connect(t, p.addr)
+		client.send(query(fmt.Sprint(n), "nothing", 9000))
+		client.wantAnswer("EZ 42601")
+		client.send([]byte("X\x00\x00\x00\x04"))
+		client.wantAnswer("$")
 	}
-	c := connect(t, p.addr)
-	c.send(query("last", "read", 9000))
+	client := connect(t, p.addr)
+	client.send(query("last", "read", 9000))
 	nextQuery(t, queries).send(row("v"))
-	c.wantAnswer("TDCZ v")
+	client.wantAnswer("TDCZ v")
 	p.signal(syscall.SIGTERM)
 	p.wantCleanExit()
 }
 
-// TestReloadRetriesTransientFailures tests that the process applies a new configuration that it cannot read when it receives
-// SIGHUP, because the file is half written or missing or the process has no descriptor left. It must do so once it can read
-// it.
+// TestReloadRetriesTransientFailures tests that the process applies a new configuration as soon as it can read it, if that is
+// not possible at once on SIGHUP because the file is half written or missing, or because the process has no descriptor left.
 func TestReloadRetriesTransientFailures(t *testing.T) {
 	for name, updateConfig := range map[string]func(t *testing.T, p *process, contents []byte){
 		"half written": func(t *testing.T, p *process, contents []byte) {
@@ -149,8 +148,8 @@
 func TestRepeatedSignals(t *testing.T) {
 	addr, queries := startServer(t)
 	p := startProcess(t, addr)
-	c := connect(t, p.addr)
-	c.send(query("1", "write", 2000))
+	client := connect(t, p.addr)
+	client.send(query("1", "write", 2000))
 	pending := nextQuery(t, queries)
 	for range 5 {
 		p.signal(syscall.SIGHUP)
@@ -164,8 +163,8 @@
 	newClient.wantAnswer("TDCZ w")
 	p.signal(syscall.SIGTERM, syscall.SIGHUP)
 	pending.send(row("v"))
-	c.wantAnswer("TDCZ v")
-	c.wantAnswer("$")
+	client.wantAnswer("TDCZ v")
+	client.wantAnswer("$")
 	newClient.wantAnswer("$")
 	p.wantCleanExit()
 	if strings.Count(p.log.String(), "to=draining") != 1 || !strings.Contains(p.log.String(), "unanswered=0") {
@@ -190,7 +189,7 @@
 	connected.send(query("after", "read", 9000))
 	q := nextQuery(t, queries)
 	if !strings.Contains(q.sql, "id=after,") {
-		t.Fatalf("the server received %q", q.sql)
+		t.Fatalf("the server received %q, want only the request with id \"after\"", q.sql)
 	}
 	q.send(row("w"))
 	connected.wantAnswer("TDCZ w")
@@ -216,12 +215,12 @@
 func TestIncompleteMessageTimesOut(t *testing.T) {
 	addr, _ := startServer(t)
 	p := startProcess(t, addr)
-	c := connect(t, p.addr)
+	client := connect(t, p.addr)
 	startedAt := time.Now()
-	c.send(query("1", "read", 9000)[:30])
-	c.wantAnswer("E$ 08P01")
+	client.send(query("1", "read", 9000)[:30])
+	client.wantAnswer("E$ 08P01")
 	if took := time.Since(startedAt); took > 3*time.Second {
 		t.Errorf("the error arrived after %v, want at most 3 s", took)
 	}
-	_, _ = io.Copy(io.Discard, c)
+	_, _ = io.Copy(io.Discard, client)
 }
--- a/cmd/beechgrade/process_test.go
+++ b/cmd/beechgrade/process_test.go
@@ -29,7 +29,7 @@
 	return path, nil
 })
 
-// process is the program in a separate process, with one scripted server.
+// process is the program in a separate process, in front of one scripted server.
 type process struct {
 	t      *testing.T
 	cmd    *exec.Cmd
@@ -191,14 +191,14 @@
 // sslRequest is the message with which a client requests encryption. The pooler answers it with one byte.
 var sslRequest = []byte{0, 0, 0, 8, 4, 210, 22, 47}
 
-// TestAcceptOutOfDescriptors tests that accept failing with EMFILE does not end the process. It sets the descriptor limit to
-// the number in use for a moment while a client connects. The open request must be answered, and the new client must be served
+// TestAcceptOutOfDescriptors tests that the process continues after accept has failed with EMFILE, because a client connects
+// while the descriptor limit leaves no descriptor free. The open request must be answered, and the new client must be served
 // once there are descriptors again.
 func TestAcceptOutOfDescriptors(t *testing.T) {
 	addr, queries := startServer(t)
 	p := startProcess(t, addr)
-	c := connect(t, p.addr)
-	c.send(query("1", "write", 19000))
+	client := connect(t, p.addr)
+	client.send(query("1", "write", 19000))
 	pending := nextQuery(t, queries)
 	before := p.limitDescriptors(p.lowestFreeDescriptor())
 	newClient := dial(t, p.addr)
@@ -207,9 +207,9 @@
 	p.wantRunning()
 	p.limitDescriptors(before)
 	if b, _ := newClient.in.ReadByte(); b != 'N' {
-		t.Errorf("the client that connected without free descriptors received %q", b)
+		t.Errorf("the client that connected without free descriptors received %q, want 'N'", b)
 	}
 	pending.send(row("v"))
-	c.wantAnswer("TDCZ v")
+	client.wantAnswer("TDCZ v")
 	p.wantRunning()
 }
--- a/cmd/beechgrade/reload.go
+++ b/cmd/beechgrade/reload.go
@@ -9,7 +9,7 @@
 
 const (
 	reloadTimeout     = 10 * time.Second      // limit for retries while a new configuration cannot be read
-	loadRetryInterval = 50 * time.Millisecond // time between two retries
+	loadRetryInterval = 50 * time.Millisecond // time between two attempts
 )
 
 // loadWithRetry reads a configuration. If a system call fails or the file is not completely written, it retries until the
--- a/cmd/beechgrade/syscalls_test.go
+++ b/cmd/beechgrade/syscalls_test.go
@@ -16,8 +16,8 @@
 // faultDuration is the time for which a system call fails in the tests of lasting failures.
 const faultDuration = 2 * time.Second
 
-// injectFault runs during while system calls of the process fail. The string when selects the calls that fail, as "when" of
-// strace's option -e inject.
+// injectFault calls the function during while system calls of the process fail. The string when selects the calls that fail,
+// in the form that strace's option -e inject takes.
 func (p *process) injectFault(call, errno, when string, during func()) {
 	p.t.Helper()
 	trace := filepath.Join(p.t.TempDir(), "trace")
@@ -81,8 +81,8 @@
 }
 
 // TestTransientSystemCalls tests that the process survives a system call that fails once, twice, or for faultDuration. A write
-// that is in flight must run once and be answered, a read on another existing connection must be answered, and a client that
-// connects during the failure must be served.
+// that is in flight must run once and be answered, a read on another existing connection must be answered or refused, and a
+// client that connects during the failure must be served.
 func TestTransientSystemCalls(t *testing.T) {
 	if _, err := exec.LookPath("strace"); err != nil {
 		t.Fatal("this test needs strace: ", err)
@@ -150,13 +150,13 @@
 			return
 		}
 		if b, _ := newClient.in.ReadByte(); b != 'N' {
-			t.Errorf("the client that connected during the fault received %q", b)
+			t.Errorf("the client that connected during the fault received %q, want 'N'", b)
 		}
 		reader.wantAnswerOrRefusal("TDCZ w")
 	})
 	if when == "1+" {
 		if b, _ := newClient.in.ReadByte(); b != 'N' {
-			t.Errorf("the client that connected during the fault received %q", b)
+			t.Errorf("the client that connected during the fault received %q, want 'N'", b)
 		}
 		reader.wantAnswerOrRefusal("TDCZ w")
 	}
@@ -167,7 +167,7 @@
 	select {
 	case writes := <-receivedWrites:
 		if !slices.Equal(writes, []string{"held"}) {
-			t.Errorf("the server received the writes %q", writes)
+			t.Errorf("before the last write, the server received the writes %q, want one \"held\"", writes)
 		}
 	case <-time.After(testTimeout):
 		t.Error("the server did not receive the last write")
