--- a/router.go
+++ b/router.go
@@ -16,13 +16,14 @@
 	// and far below any latency target.
 	housekeepingInterval = 10 * time.Millisecond
 	// refreshInterval is the time between corrections of the server rates. A load report loses its weight
-	// over twice this time. The value is from DESIGN.
+	// over twice this time. The value is the starting value given on the design page, "The design of
+	// curlewvane", which asks for corrections at a steady interval.
 	refreshInterval = time.Second
 	// pauseThreshold is the delay from which a late timer means that this process was paused. A connection or
 	// probe that fails after at least this time may have failed on the path to the server.
 	pauseThreshold = 100 * time.Millisecond
 	// shareFreeze is how long the cost uses the rate for each request that was computed when the server was
-	// last chosen. It is the initial value given in DESIGN.
+	// last chosen. The design page asks for this short freeze and gives this starting value.
 	shareFreeze = time.Second
 
 	// initialWork is the work of a class without answers, as a fraction of its latency target.
@@ -289,10 +290,16 @@
 	return n / (1 - utilization*utilization) // includes queueing, which grows with utilization
 }
 
-// cost returns the cost of sending a read to a server, in seconds, by equation 2 of the paper: the read's own
-// time at its max-min fair share, plus the slowdown of this router's requests there, each weighted by its
-// value relative to the read's. Reads therefore avoid a primary that is full of writes. shareAfter is the
-// rate that each request would have after the send.
+// cost returns the cost of sending a read to a server, in seconds. It is based on equation 2 of Rizvi et al.,
+// "Mayflower: Improving Distributed Filesystem Performance Through SDN/Filesystem Co-Design":
+//
+//	cost = d/b + sum over the requests i in flight of (r_i/b'_i - r_i/b_i)
+//
+// The first term is the read's own time: its work d divided by its max-min fair share b of the server's rate.
+// The sum is the slowdown of this router's requests there: r_i is the remaining work of request i, b_i its
+// present share and b'_i its share after the send. Here each slowdown is weighted by the value of request i
+// relative to the read's, so reads avoid a primary that is full of writes. shareAfter is the rate that each
+// request would have after the send.
 func (r *Router) cost(s *server, q *request) (cost, shareAfter float64) {
 	r.advanceService(s)
 	rate := r.currentRate(s)
--- a/router_test.go
+++ b/router_test.go
@@ -132,10 +132,10 @@
 	return append(ofKind(Refuse, actions), ofKind(Fail, actions)...)
 }
 
-// TestCost checks equation 2 of the paper on an example worked by hand, with rate 1, concurrency limit 4 and
-// average work 0.08. Each of n requests gets the rate (1+(n/4)^4)^(-1/4): 0.9990 for one request, 0.9864 for
-// two, 0.8409 for four and 0.7347 for five. The new request takes 0.08 divided by its rate, and each request
-// in flight slows down from its present rate to that one.
+// TestCost checks equation 2 of the Mayflower paper (see Router.cost) on an example worked by hand, with rate
+// 1, concurrency limit 4 and average work 0.08. Each of n requests gets the rate (1+(n/4)^4)^(-1/4): 0.9990
+// for one request, 0.9864 for two, 0.8409 for four and 0.7347 for five. The new request takes 0.08 divided by
+// its rate, and each request in flight slows down from its present rate to that one.
 func TestCost(t *testing.T) {
 	for _, c := range []struct {
 		inFlight int
