--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -43,7 +43,7 @@
 	state         state
 	input         pgwire.Reader
 	attempt       *attempt
-	queryBuffered bool            // the whole query was passed to the socket or its buffer
+	queryBuffered bool            // the complete query was passed to loopConn, which may still buffer a part
 	idleSeq       uint64          // orders idle connections by the time at which they became idle
 	idleSince     float64         // when the connection last became ready for a query
 	writtenAt     float64         // when the current query was written
@@ -73,8 +73,8 @@
 	}
 }
 
-// connectFailedLocally removes a connection that failed for lack of resources on this machine. That says nothing about the
-// server, so waiting attempts keep waiting, for another dial or for a connection that becomes free.
+// connectFailedLocally removes a connection that failed for lack of resources on this machine. That is no evidence against
+// the server, so waiting attempts keep waiting, for another dial or for a connection that becomes free.
 func (c *conn) connectFailedLocally() {
 	p, s := c.pool, c.server
 	c.state = closed
@@ -135,7 +135,7 @@
 	c.timer = p.loop.At(p.loop.Now()+p.opt.IdleTimeoutMs, func() { c.loopConn.Close(closeIdle) })
 }
 
-// writeQuery writes the query of an attempt, with a time limit for the server in milliseconds.
+// writeQuery writes the query of an attempt, which gives the server the time limit timeLimitMs, in milliseconds.
 func (c *conn) writeQuery(a *attempt, timeLimitMs int) {
 	p := c.pool
 	c.removeFromIdle()
@@ -204,7 +204,8 @@
 		c.handleMessage(m)
 	}
 	c.updateAnswerBytes()
-	if p := c.pool; c.attempt != nil && c.answerBytes > maxKeptBuffer && p.answerBytes > p.opt.MemoryBytes()/answerMemoryDivisor {
+	if p := c.pool; c.attempt != nil && c.answerBytes > maxKeptBufferBytes &&
+		p.answerBytes > p.opt.MemoryBytes()/answerMemoryDivisor {
 		p.log.Warn("no memory for an answer", "server", c.server.id, "bytes", c.answerBytes, "all", p.answerBytes)
 		p.abort(c.attempt, beechgrade.Failed)
 		return
@@ -215,11 +216,11 @@
 // Closed implements loop.Handler.
 func (c *conn) Closed(error) {
 	p := c.pool
-	prevState, unsent := c.state, c.loopConn.UnsentBytes()
-	if prevState == closed {
+	previousState, unsent := c.state, c.loopConn.UnsentBytes()
+	if previousState == closed {
 		return
 	}
-	if prevState == startingUp {
+	if previousState == startingUp {
 		c.startupFailed()
 		return
 	}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -51,6 +51,7 @@
 	server net.Listener
 }
 
+// newTestCore starts a test core, after change has modified its configuration.
 func newTestCore(t *testing.T, change func(*config.Config)) *testCore {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -65,7 +66,8 @@
 		Settings: beechgrade.Settings{RouterCount: 1, Tick: 2 * time.Millisecond, ListShowsRole: true, ListRoleUpdates: true,
 			MaxAttempts: 8, Classes: []beechgrade.Class{
 				{LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1, Read: beechgrade.ReadAny},
-				{LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1, Read: beechgrade.Write, Effect: beechgrade.Unsafe}}}}
+				{LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1, Read: beechgrade.Write,
+					Effect: beechgrade.Unsafe}}}}
 	if change != nil {
 		change(cfg)
 	}
@@ -86,8 +88,8 @@
 	return tc
 }
 
-// do runs f on the loop and waits until it has returned.
-func (tc *testCore) do(f func()) {
+// runOnLoop runs f on the loop and waits until it has returned.
+func (tc *testCore) runOnLoop(f func()) {
 	done := make(chan struct{})
 	tc.loop.Post(func() { f(); close(done) })
 	<-done
@@ -116,30 +118,31 @@
 	for _, mayCancel := range []bool{true, false} {
 		tc := newTestCore(t, func(c *config.Config) { c.Settings.MayCancel = mayCancel })
 		answers := make(answerLog, 9)
-		tc.do(func() {
+		tc.runOnLoop(func() {
 			now := tc.clk.Ms
 			ref, err := tc.core.Submit(front.Request{ID: "1", Class: "write", Deadline: now + 2000, Query: answers}, answers)
 			if err != nil {
 				t.Error(err)
 			}
-			if _, err := tc.core.Submit(front.Request{ID: "2", Class: "read", Deadline: now + 500, Query: answers}, answers); err != nil {
+			if _, err := tc.core.Submit(front.Request{ID: "2", Class: "read", Deadline: now + 500, Query: answers},
+				answers); err != nil {
 				t.Error(err)
 			}
 			tc.core.Abandon(ref, "peer")
 		})
 		conns := []net.Conn{tc.accept(), tc.accept()}
-		tc.do(func() { tc.clk.Ms += 500 })
+		tc.runOnLoop(func() { tc.clk.Ms += 500 })
 		select {
 		case got := <-answers:
 			if got != "refused" {
-				t.Errorf("MayCancel %v: the second request was %s", mayCancel, got)
+				t.Errorf("MayCancel %v: the second request was %s, want refused", mayCancel, got)
 			}
 		case <-time.After(20 * time.Second):
 			t.Fatal("the second request has no answer")
 		}
-		tc.do(func() {
+		tc.runOnLoop(func() {
 			if n := tc.core.OpenRequests(); n != 0 || len(tc.core.openIDs) != 0 {
-				t.Errorf("MayCancel %v: %d requests and %d ids are left", mayCancel, n, len(tc.core.openIDs))
+				t.Errorf("MayCancel %v: %d requests and %d ids are left, want none", mayCancel, n, len(tc.core.openIDs))
 			}
 		})
 		for _, conn := range conns {
@@ -149,14 +152,14 @@
 		}
 		end := time.Now().Add(20 * time.Second)
 		for open := 2; open > 0 && time.Now().Before(end); { // Drain closes the idle connections that are open by now
-			tc.do(func() {
+			tc.runOnLoop(func() {
 				tc.pool.Drain("s-1")
 				open = tc.pool.ConnCount()
 			})
 		}
 		for _, conn := range conns {
 			if n, err := io.Copy(io.Discard, conn); n > 0 || err != nil {
-				t.Errorf("MayCancel %v: %d bytes were sent, then %v", mayCancel, n, err)
+				t.Errorf("MayCancel %v: %d bytes were sent, then error %v; want none", mayCancel, n, err)
 			}
 		}
 	}
--- a/internal/front/client_limits.go
+++ b/internal/front/client_limits.go
@@ -39,34 +39,36 @@
 
 // Reasons for which this side closes a client's connection.
 const (
-	// closeHalfClosedTimeout: the client did not close the connection within halfClosedTimeoutMs after its final message.
+	// closeHalfClosedTimeout means that the client did not close the connection within halfClosedTimeoutMs after the final
+	// message was sent to it.
 	closeHalfClosedTimeout loop.Reason = "front.left"
-	// closeSendStalled: the client does not read its answers.
+	// closeSendStalled means that the client does not read its answers.
 	closeSendStalled loop.Reason = "front.stuck"
-	// closeStartupTimeout: the client has not sent any part of a startup message within startupTimeoutMs.
+	// closeStartupTimeout means that the client has not sent any part of a startup message within startupTimeoutMs.
 	closeStartupTimeout loop.Reason = "front.silent"
-	// closeIdle: the client has been idle for idleTimeoutMs.
+	// closeIdle means that the client has been idle for idleTimeoutMs.
 	closeIdle loop.Reason = "front.idle"
-	// closeEvicted: the connection was closed in favour of other clients.
+	// closeEvicted means that the connection was closed in favour of other clients.
 	closeEvicted loop.Reason = "front.evicted"
-	// closeMemory: the client holds the most memory while all clients together hold too much.
+	// closeMemory means that the client holds the most memory while all clients together hold too much.
 	closeMemory loop.Reason = "front.memory"
-	// closeShutdown: the process ends.
+	// closeShutdown means that the process ends.
 	closeShutdown loop.Reason = "front.end"
-	// closeDrain: the client is idle while the process drains.
+	// closeDrain means that the client is idle while the process drains.
 	closeDrain loop.Reason = "front.drain"
-	// closeProtocol: the client has sent more than maxDiscardedBytes after the end of its session.
+	// closeProtocol means that the client has sent more than maxDiscardedBytes after the end of its session.
 	closeProtocol loop.Reason = "front.protocol"
-	// closeCancel: the client has sent a cancel request, which has no answer.
+	// closeCancel means that the client has sent a cancel request, which has no answer.
 	closeCancel loop.Reason = "front.cancel"
-	// closeImmediate: the session has ended and the connection cannot be half-closed first.
+	// closeImmediate means that the session has ended, but the client cannot be given halfClosedTimeoutMs to close the
+	// connection.
 	closeImmediate loop.Reason = "front.last_word"
 )
 
 // Budget holds the limits on the resources that the front may use.
 type Budget struct {
 	SpareDescriptors    func() int  // descriptors left for clients, below 0 if there are too many clients
-	ActiveClientLimit   func() int  // with more active clients than this, idle ones are closed
+	ActiveClientLimit   func() int  // number of active clients above which idle ones are closed, see enforceActiveLimit
 	CloseIdleServerConn func() bool // closes an idle connection to a server and reports whether there was one
 	MemoryBytes         func() int  // memory limit of the process, in bytes
 
@@ -188,8 +190,9 @@
 }
 
 // admit reports whether there is a descriptor for a new client. If there is none, it closes other connections: first those of
-// clients that wait for nothing and have sent no request, then idle connections to servers, then those of idle clients, which
-// can reconnect, and last those of clients whose message has been incomplete for sweepIntervalMs.
+// clients that are half-closed, still starting up or idle without any request so far, then idle connections to servers, then
+// those of other idle clients, which can reconnect, and last those of clients whose message has been incomplete for
+// sweepIntervalMs.
 func (p *Postgres) admit(s *session) bool {
 	for p.budget.SpareDescriptors() < 0 {
 		if !p.evict(stateHalfClosed, 0) && !p.evict(stateStartingUp, 0) && !p.evict(stateIdleUnused, 0) &&
@@ -206,15 +209,16 @@
 	return true
 }
 
-// FreeDescriptor closes one connection and reports whether there was one to close. It prefers a client that waits for nothing
-// and has sent no request, then an idle connection to a server, then an idle client. It is called when the system has no
-// descriptor left.
+// FreeDescriptor closes one connection and reports whether there was one to close. It prefers that of a client that is
+// half-closed, still starting up or idle without any request so far, then an idle connection to a server, then that of another
+// idle client. It is called when the system has no descriptor left.
 func (p *Postgres) FreeDescriptor() bool {
 	return p.evict(stateHalfClosed, 0) || p.evict(stateStartingUp, 0) || p.evict(stateIdleUnused, 0) ||
 		p.budget.CloseIdleServerConn() || p.evict(stateIdle, 0)
 }
 
-// enforceActiveLimit closes idle connections while more clients are active than Budget.ActiveClientLimit allows. The number of
+// enforceActiveLimit closes idle connections while more clients are active than Budget.ActiveClientLimit allows. All clients
+// count as active but those that are half-closed, still starting up or idle without any request so far. The number of
 // connections that clients may open is limited, and some clients keep each one open for a while after a single request.
 func (p *Postgres) enforceActiveLimit() {
 	for p.sessionsByState[stateIdle].Len()+p.sessionsByState[statePartialMessage].Len()+p.sessionsByState[stateBusy].Len() >
--- a/router.go
+++ b/router.go
@@ -1,6 +1,7 @@
 package beechgrade
 
-// This file holds the routing decisions and the tuned constants of the module.
+// This file holds the routing decisions and the constants behind all decisions, except maxMeanRate and
+// limitSteps, which are in state.go.
 
 import (
 	"cmp"
@@ -15,13 +16,14 @@
 	// and far below any latency target.
 	housekeepingInterval = 10 * time.Millisecond
 	// refreshInterval is the time between corrections of the server rates. A load report loses its weight
-	// over twice this time. The value is from DESIGN.
+	// over twice this time. The value is the starting value given on the design page, "The design of
+	// curlewvane", which asks for corrections at a steady interval.
 	refreshInterval = time.Second
 	// pauseThreshold is the delay from which a late timer means that this process was paused. A connection or
 	// probe that fails after at least this time may have failed on the path to the server.
 	pauseThreshold = 100 * time.Millisecond
-	// shareFreeze is how long the cost uses the rate for each request that was computed at a server's last
-	// pick. It is the start value given in DESIGN.
+	// shareFreeze is how long the cost uses the rate for each request that was computed when the server was
+	// last chosen. The design page asks for this short freeze and gives this starting value.
 	shareFreeze = time.Second
 
 	// initialWork is the work of a class without answers, as a fraction of its latency target.
@@ -53,8 +55,8 @@
 	// overLimitIdleShare applies where this router has nothing in flight at the server: the server also takes
 	// a request whose own time is at most this fraction of the time left until its latency target.
 	overLimitIdleShare = 0.8
-	// overLimitReadShare restricts overLimitIdleShare for reads if there are more than fewRouters routers: an
-	// average request must take at most this fraction of the smallest latency target.
+	// overLimitReadShare restricts overLimitIdleShare for reads that replicas may take if there are more than
+	// fewRouters routers: an average request must take at most this fraction of the smallest latency target.
 	overLimitReadShare = 0.5
 	// fewRouters is the number of routers up to which each one sees most of a server's load itself.
 	fewRouters = 8
@@ -69,10 +71,11 @@
 	minTenantBurst = 4.0
 	// requestRateMemory is the time constant of this router's measured request rate.
 	requestRateMemory = 5 * time.Second
-	// trafficShareMemory is the memory of where a group's requests went, in rounds over its members.
+	// trafficShareMemory, times the number of a group's members, is the memory of their traffic shares, in
+	// sends.
 	trafficShareMemory = 4.0
-	// maxProbesPerRequest is how many servers are probed for one request. The two cheapest ones give most of
-	// the information.
+	// maxProbesPerRequest is how many servers are probed for one request before each of its attempts. The two
+	// cheapest servers give most of the information.
 	maxProbesPerRequest = 2
 	// probeWaitTicks is how long a request waits for the probes sent for it, in ticks.
 	probeWaitTicks = 4
@@ -82,7 +85,7 @@
 	// silentServiceTimes is how many service times of a request are added to those gaps.
 	silentServiceTimes = 3.0
 	// trialRequests is how many requests may be in flight at a server on trial. A single request could be
-	// lost and prove nothing.
+	// lost by chance, which would prove nothing.
 	trialRequests = 3
 
 	// maxLostRatio is the service, as a multiple of its expected work, after which an overtaken attempt is
@@ -95,14 +98,14 @@
 	// lossRateMemory is the memory of the loss rate, in attempts.
 	lossRateMemory = 300
 
-	// longReadRatio is the multiple of the average work from which a read of any data is long. A long read
-	// delays the replay of the log on the server that runs it.
+	// longReadRatio is the multiple of the average work from which a read of kind ReadAny is long. A long
+	// read delays the replay of the log on the server that runs it.
 	longReadRatio = 2.0
 	// fillOrderCost is how much the cost of a long read increases from the first member of its group to the
 	// last, as a multiple of the cost itself.
 	fillOrderCost = 4.0
 	// retryValueFactor is the part of its value that a client's retry has. The latency target counts from
-	// the first try and has mostly passed by then.
+	// the client's first request and has mostly passed by then.
 	retryValueFactor = 0.2
 
 	// downProbeInterval is the time between probes of a server that is down.
@@ -127,7 +130,8 @@
 	// maxSubscribeDelay bounds the delay of a subscribe call, however many routers there are. The changes
 	// that a silent watch missed then arrive within 6 s.
 	maxSubscribeDelay = 5 * time.Second / 2
-	// minSubscribePause is the pause before subscribing again. Jitter of up to the same time is added.
+	// minSubscribePause is the pause before subscribing again after a subscription that lasted. Jitter of up
+	// to the same time is added.
 	minSubscribePause = 100 * time.Millisecond
 	// maxSubscribePause bounds the pause, which doubles with each subscription that ends within this time.
 	maxSubscribePause = time.Second
@@ -243,8 +247,8 @@
 
 func seconds(x float64) Time { return Time(x * float64(time.Second)) }
 
-// currentRate returns the rate that a single request would get now. With its warm rate, a cold server would
-// win every pick.
+// currentRate returns the rate that a single request would get now. If a cold server counted with its warm
+// rate, it would always be chosen.
 func (r *Router) currentRate(s *server) float64 { return r.warmRate(s) * r.capacityFraction(s) }
 
 // freshness returns the weight of information from time at, which falls from 1 to 0 over memory.
@@ -253,10 +257,11 @@
 }
 
 // load returns the number of requests in flight at a server: this router's, without those presumed lost, and
-// the other routers'. The last report of the others' changes gradually into an estimate, since many routers
-// that each see an idle server would overload it together. The likely load, with the full estimate, may only
-// influence the choice of a server. Requests are held back by the evident load, in which the estimate for
-// each other router is at most a fixed part of this router's own requests there.
+// the other routers'. An estimate gradually replaces the last report of the others' requests, since many
+// routers that each see an idle server would overload it together. An estimate may influence the choice of a
+// server, but must not hold requests back. The likely load therefore includes all of it, while the evident
+// load, which decides whether a server can take more, limits the estimate for each other router to a fixed
+// part of this router's own requests there.
 func (r *Router) load(s *server) (likely, evident float64) {
 	own := float64(len(s.inFlight) - s.presumedLost)
 	fresh := r.freshness(s.loadReportedAt, 2*refreshInterval)
@@ -276,8 +281,8 @@
 }
 
 // estimateOthersLoad returns an estimate of the other routers' requests in flight at a server: each has as
-// many as this one has on average. As this router's traffic share counts, a router that seldom has a request
-// in flight chooses the members in a round robin weighted by their rates.
+// many as this one has on average. A send raises the server's traffic share and with it the estimate, so a
+// router that seldom has a request in flight chooses the members in a round robin weighted by their rates.
 func (r *Router) estimateOthersLoad(s *server) float64 {
 	n := float64(r.cfg.RouterCount-1) * r.perGroup(r.requestRate) * s.trafficShare * r.meanWork /
 		r.currentRate(s)
@@ -285,10 +290,16 @@
 	return n / (1 - utilization*utilization) // includes queueing, which grows with utilization
 }
 
-// cost returns the cost of sending a read to a server, in seconds, by equation 2 of the paper: the read's own
-// time at its max-min fair share, plus the slowdown of this router's requests there, each weighted by its
-// value relative to the read's. Reads therefore avoid a primary that is full of writes. shareAfter is the
-// rate that each request would have after the send.
+// cost returns the cost of sending a read to a server, in seconds. It is based on equation 2 of Rizvi et al.,
+// "Mayflower: Improving Distributed Filesystem Performance Through SDN/Filesystem Co-Design":
+//
+//	cost = d/b + sum over the requests i in flight of (r_i/b'_i - r_i/b_i)
+//
+// The first term is the read's own time: its work d divided by its max-min fair share b of the server's rate.
+// The sum is the slowdown of this router's requests there: r_i is the remaining work of request i, b_i its
+// present share and b'_i its share after the send. Here each slowdown is weighted by the value of request i
+// relative to the read's, so reads avoid a primary that is full of writes. shareAfter is the rate that each
+// request would have after the send.
 func (r *Router) cost(s *server, q *request) (cost, shareAfter float64) {
 	r.advanceService(s)
 	rate := r.currentRate(s)
@@ -305,7 +316,7 @@
 		cost += (remaining/shareAfter - remaining/shareNow) * a.req.value / q.value
 	}
 	// Failed answers come quickly and leave their server idle, so without this factor a failing server would
-	// win the picks.
+	// always be chosen.
 	cost /= 1 - r.failureChance(s)
 	if s.entry.Zone != r.cfg.Zone {
 		// The cost is a time, so the request's value is expressed as its latency target.
@@ -315,9 +326,9 @@
 	return cost, shareAfter
 }
 
-// zoneLatency returns the recent latency of probes into the server's zone, in seconds. Servers behind a slow
-// path must not count as slow or down: they work well in their own zone, and a primary there still takes
-// writes.
+// zoneLatency returns the recent latency of probes and failed connections into the server's zone, in seconds.
+// Servers behind a slow path must not count as slow or down: they work well in their own zone, and a primary
+// there still takes writes.
 func (r *Router) zoneLatency(s *server) float64 {
 	return r.zoneLatencies[s.entry.Zone].latency *
 		r.freshness(r.zoneLatencies[s.entry.Zone].measuredAt, zoneLatencyMemory)
@@ -392,8 +403,10 @@
 	return s.coldWork <= depth
 }
 
-// freshEnough reports whether a server's data is known to be new enough for the request, and whether it is
-// likely to be: if its position is unknown or was not reported for long, or by the rate at which it advances.
+// freshEnough reports whether a server's data is known to be new enough for the request, and whether it may
+// be. It may be if the server's position is unknown, if more time has passed since its last report than the
+// position lagged behind then (and at least primarySearchInterval), or if the position must be high enough by
+// now at the rate at which it advances.
 func (r *Router) freshEnough(s *server, q *request) (known, likely bool) {
 	minPosition := q.minPosition
 	if q.class.Read == ReadBounded {
@@ -422,49 +435,50 @@
 
 func (s *server) usable() bool { return s.allowedByList() && s.health != down }
 
-// allowedByList reports whether the server list allows its use. With soft removal, a server that is missing
-// from the list may be used unless it was draining.
+// allowedByList reports whether the server list allows requests to the server. With soft removal, a server
+// that is missing from the list may be used unless it was draining.
 func (s *server) allowedByList() bool { return !s.draining && (s.removedAt == 0 || s.softRemoval) }
 
 // chooseServer returns the server for a request, or nil if the request has to wait.
 func (r *Router) chooseServer(q *request) *server {
-	p := r.primary(q.group)
+	primary := r.primary(q.group)
 	if q.primaryOnly() {
-		if p != nil && p.usable() && r.hasCapacity(p, q) && !r.awaitsProbe(q, p) {
-			return p
+		if primary != nil && primary.usable() && r.hasCapacity(primary, q) && !r.awaitsProbe(q, primary) {
+			return primary
 		}
 		return nil
 	}
-	var best, next, bestKnown *server
+	var best, secondBest, bestKnown *server
 	leastCost, secondCost, knownCost := math.Inf(1), math.Inf(1), math.Inf(1)
 	for _, s := range q.group.members {
-		if !s.usable() || len(q.attempts) < len(q.group.members) && q.triedOn(s) || !r.hasCapacity(s, q) ||
-			s == p && !r.primaryHasSpare(s) {
+		if !s.usable() || len(q.attempts) < len(q.group.members) && q.wasSentTo(s) || !r.hasCapacity(s, q) ||
+			s == primary && !r.primaryHasSpare(s) {
 			continue
 		}
 		fresh, maybeFresh := r.freshEnough(s, q)
 		if !fresh && !maybeFresh {
 			continue
 		}
-		c, _ := r.cost(s, q)
+		cost, _ := r.cost(s, q)
 		if q.class.Read == ReadAny && q.class.meanWork > longReadRatio*r.meanWork {
-			c *= 1 + fillOrderCost*r.fillOrder(s)
+			cost *= 1 + fillOrderCost*r.fillOrder(s)
 		}
-		if !fresh { // a wrong guess costs a round trip; servers that would answer stale are probed first
-			c += (2 * r.cfg.Tick).Seconds() + r.probeCost(q)
+		if !fresh {
+			// A wrong guess costs a round trip, or a probe before the send if replicas serve stale data.
+			cost += (2 * r.cfg.Tick).Seconds() + r.probeCost(q)
 		}
-		if (fresh || r.cfg.LagPolicy != LagServesStale) && c < knownCost {
-			bestKnown, knownCost = s, c
+		if (fresh || r.cfg.LagPolicy != LagServesStale) && cost < knownCost {
+			bestKnown, knownCost = s, cost
 		}
-		if c < leastCost {
-			next, secondCost, best, leastCost = best, leastCost, s, c
-		} else if c < secondCost {
-			next, secondCost = s, c
+		if cost < leastCost {
+			secondBest, secondCost, best, leastCost = best, leastCost, s, cost
+		} else if cost < secondCost {
+			secondBest, secondCost = s, cost
 		}
 	}
 	wait := best != nil && r.awaitsProbe(q, best)
-	if next != nil && secondCost <= 2*leastCost { // the second may turn out cheaper
-		wait = r.awaitsProbe(q, next) || wait
+	if secondBest != nil && secondCost <= 2*leastCost { // the second may turn out cheaper
+		wait = r.awaitsProbe(q, secondBest) || wait
 	}
 	if wait {
 		return nil
@@ -490,8 +504,8 @@
 }
 
 // awaitsProbe probes a server for a request if needed, and reports whether the request has to wait for the
-// result: because the server's position must be known, or because the expected queueing behind other
-// routers' requests there costs more than a probe.
+// result: because the server's position must be known, or because its load was not reported recently and the
+// expected queueing behind the requests there costs more than a probe.
 func (r *Router) awaitsProbe(q *request, s *server) bool {
 	fresh, _ := r.freshEnough(s, q)
 	n, _ := r.load(s)
@@ -535,7 +549,7 @@
 	if s == nil ||
 		q.possiblyRan && q.class.Effect == Deduplicated && q.class.Scope == ScopeZone &&
 			s.entry.Zone != q.possiblyRanZone {
-		return false // only the zone of the first attempt drops repeats
+		return false // only the zone of the first attempt that may have run drops repeats
 	}
 	_, shareAfter := r.cost(s, q)
 	a := &attempt{req: q, server: s, number: len(q.attempts), sentAt: r.now, serviceAtSend: s.service}
@@ -551,9 +565,9 @@
 	return true
 }
 
-// sendDeadline returns the time until which the request may be sent to the server. While it waits for a
-// connection, the server's data ages and the deduplication window runs on, so a send that is allowed now may
-// not be later.
+// sendDeadline returns the time until which the request may be sent to the server. A connection may take long
+// to open. Meanwhile the server's data ages and part of the deduplication window passes, so a send that is
+// allowed now may be forbidden later.
 func (r *Router) sendDeadline(q *request, s *server) Time {
 	deadline := Time(math.MaxInt64)
 	if q.class.Read == ReadBounded && r.cfg.LagPolicy == LagServesStale && s != r.primary(q.group) {
@@ -630,7 +644,7 @@
 }
 
 // deadlineNear reports whether a request needs its final answer before the next housekeeping run. A request
-// that has not reached a server needs it after half its time.
+// that has not reached a server needs it after half its time, so that its client can try again.
 func (r *Router) deadlineNear(q *request) bool {
 	end := q.deadline
 	if !q.reachedServer && q.inFlight == 0 {
@@ -652,10 +666,10 @@
 // that cannot be answered in time.
 func (r *Router) dispatch(g *group) {
 	slices.SortStableFunc(g.waiting, func(a, b *request) int {
-		// The newest go first: under overload, the oldest would each be answered just too late.
+		// The newest are sent first: under overload, the oldest would each be answered just too late.
 		return cmp.Or(cmp.Compare(r.priority(b), r.priority(a)), cmp.Compare(b.arrived, a.arrived))
 	})
-	kept, queue := g.waiting[:0:0], g.waiting
+	stillWaiting, queue := g.waiting[:0:0], g.waiting
 	g.waiting = nil
 	for _, q := range queue {
 		if q.finished {
@@ -663,15 +677,15 @@
 		}
 		if r.deadlineNear(q) || r.attemptsExhausted(q) || r.now+r.fastestAnswer(q) > q.usefulUntil {
 			if q.inFlight == 0 {
-				r.finish(q, "no server can take it in time")
+				r.finish(q, "no attempts or no time left")
 			}
 			continue
 		}
 		if !r.trySend(q) {
-			kept = append(kept, q)
+			stillWaiting = append(stillWaiting, q)
 		}
 	}
-	g.waiting = append(kept, g.waiting...)
+	g.waiting = append(stillWaiting, g.waiting...)
 }
 
 // fastestAnswer returns the shortest expected time to an answer among the group's servers at their present
@@ -691,14 +705,14 @@
 	return seconds(q.class.fastestAnswer.Seconds() * q.relativeWork)
 }
 
-// finish gives the final answer: Refuse if trying again is harmless, else Fail.
-func (r *Router) finish(q *request, why string) {
-	ran := q.possiblyRan || q.inFlight > 0
-	if q.class.Effect == Safe || !ran || q.class.Effect == Deduplicated && q.class.Scope == ScopeAll {
+// finish gives the final answer: Refuse if a retry is harmless, else Fail.
+func (r *Router) finish(q *request, reason string) {
+	mayHaveRun := q.possiblyRan || q.inFlight > 0
+	if q.class.Effect == Safe || !mayHaveRun || q.class.Effect == Deduplicated && q.class.Scope == ScopeAll {
 		r.emit(Action{Kind: Refuse, ID: q.id, Wait: min(r.cfg.MaxRetryAfter, q.class.LatencyTarget),
-			Text: why})
+			Text: reason})
 	} else {
-		r.emit(Action{Kind: Fail, ID: q.id, Text: why})
+		r.emit(Action{Kind: Fail, ID: q.id, Text: reason})
 	}
 	r.forgetRequest(q)
 }
@@ -736,14 +750,14 @@
 	case OK:
 		c := q.class
 		if !a.untimed {
-			service, took := s.service-a.serviceAtSend, (r.now - a.sentAt).Seconds()
-			pathTime := min(r.zoneLatency(s), took/2)
-			r.recordLatency(s, a, seconds(took-pathTime))
-			service, took = service*(1-pathTime/max(took, 1e-9)), took-pathTime
+			service, elapsed := s.service-a.serviceAtSend, (r.now - a.sentAt).Seconds()
+			pathTime := min(r.zoneLatency(s), elapsed/2)
+			r.recordLatency(s, a, seconds(elapsed-pathTime))
+			service, elapsed = service*(1-pathTime/max(elapsed, 1e-9)), elapsed-pathTime
 			if r.inferLoad(s,
-				r.concurrencyLimit(s)*(took*r.currentRate(s)/q.expectedWork()-loadInferenceRatio)) {
+				r.concurrencyLimit(s)*(elapsed*r.currentRate(s)/q.expectedWork()-loadInferenceRatio)) {
 				n, _ := r.load(s)
-				service = min(service, took*r.rateShare(s, n)*r.capacityFraction(s))
+				service = min(service, elapsed*r.rateShare(s, n)*r.capacityFraction(s))
 			}
 			s.answeredWork += q.expectedWork()
 			s.answeredService += service
@@ -770,8 +784,8 @@
 			s.applyRate /= 2 // it lags further behind than estimated
 		}
 	case Overloaded, Unreachable, Failed, Reset:
-		// None of these proves that the server is down. It costs more for a while, and after a second failure
-		// it gets no requests for one mean service time.
+		// None of these proves that the server is down. It costs more for a while. After a rejection for load
+		// or a failed answer soon after another failure, it gets no requests for one mean service time.
 		if e.Result == Unreachable && !r.recordZoneLatency(s, r.now-a.sentAt) &&
 			r.now-a.sentAt < pauseThreshold {
 			r.recordRefusal(s)
@@ -797,7 +811,7 @@
 	}
 	if e.Result != OK && !q.finished && q.inFlight == 0 {
 		if r.deadlineNear(q) || r.attemptsExhausted(q) {
-			r.finish(q, "no further attempt allowed after "+e.Result.String())
+			r.finish(q, "no attempts or no time left after "+e.Result.String())
 		} else if !slices.Contains(q.group.waiting, q) {
 			q.group.waiting = append(q.group.waiting, q)
 		}
@@ -807,7 +821,7 @@
 
 func (r *Router) onList(e *List) {
 	if e.Kind == ListFailed {
-		if r.subscribeFailures++; r.now-r.lastSubscribe >= maxSubscribePause { // it had lasted
+		if r.subscribeFailures++; r.now-r.lastSubscribe >= maxSubscribePause { // the subscription had lasted
 			r.subscribeFailures = 0
 		}
 		pause := min(maxSubscribePause, minSubscribePause<<min(r.subscribeFailures, 9))
@@ -864,7 +878,7 @@
 
 // scheduleSubscribe schedules a subscribe call after a pause and jitter. The routers spread their calls, as
 // the discovery service answers one after the other. A list that is pushed comes from an agent that serves
-// only this router, and binds as soon as the agent has it, so the delay is short then.
+// only this router, and must be obeyed as soon as the agent has it, so the delay is short then.
 func (r *Router) scheduleSubscribe(pause time.Duration) {
 	limit, spread := maxSubscribeDelay, pause+subscribeSpacing*time.Duration(r.cfg.RouterCount-1)
 	if !r.cfg.SubscribeList {
@@ -948,28 +962,28 @@
 		r.advanceService(s)
 		rate := r.warmRate(s)
 		for _, a := range s.inFlight {
-			excess := s.service - a.serviceAtSend
-			if a.overtakenBy == 0 && !a.presumedLost && !a.untimed && excess*rate > a.req.expectedWork() {
-				s.answeredService += excess - a.req.expectedWork()/rate
+			service := s.service - a.serviceAtSend
+			if a.overtakenBy == 0 && !a.presumedLost && !a.untimed && service*rate > a.req.expectedWork() {
+				s.answeredService += service - a.req.expectedWork()/rate
 			}
 		}
 		// From here on, answeredService is in units of work at the server's present rate.
 		if s.answeredService *= rate; s.answeredWork > 0 || s.answeredService > 0 {
-			k := byType[s.entry.MachineType]
-			byType[s.entry.MachineType] = [2]float64{k[0] + s.answeredWork, k[1] + s.answeredService}
+			sums := byType[s.entry.MachineType]
+			byType[s.entry.MachineType] = [2]float64{sums[0] + s.answeredWork, sums[1] + s.answeredService}
 		}
 	}
 	for _, s := range r.sortedServers {
 		if s.answeredWork > 0 || s.answeredService > 0 {
-			f := step(byType[s.entry.MachineType][0], byType[s.entry.MachineType][1])
+			typeStep := step(byType[s.entry.MachineType][0], byType[s.entry.MachineType][1])
 			s.relativeRate = min(maxRate,
-				max(1/maxRate, s.relativeRate*step(s.answeredWork, s.answeredService*f)))
+				max(1/maxRate, s.relativeRate*step(s.answeredWork, s.answeredService*typeStep)))
 		}
 		s.answeredWork, s.answeredService = 0, 0
 	}
-	for machineType, k := range byType { // the order does not matter: the types are independent
+	for machineType, sums := range byType { // the order does not matter: the types are independent
 		r.machineRates[machineType] = min(maxRate,
-			max(1/maxRate, r.machineRates[machineType]*step(k[0], k[1])))
+			max(1/maxRate, r.machineRates[machineType]*step(sums[0], sums[1])))
 	}
 	r.normalizeRates()
 	r.adjustLimits()
@@ -988,16 +1002,16 @@
 // falls below its initial value, since periods in which a server is slow look like overload.
 func (r *Router) adjustLimits() {
 	for _, limit := range r.concurrencyLimits { // the order does not matter: the limits are independent
-		least, target := 0.0, 0.0
-		for i, m := range limit.latencies {
-			if m.count < minLimitSamples {
+		lowLoadLatency, target := 0.0, 0.0
+		for i, step := range limit.latencies {
+			if step.count < minLimitSamples {
 				continue
 			}
-			if least == 0 {
-				least = m.value
+			if lowLoadLatency == 0 {
+				lowLoadLatency = step.value
 			}
 			load := math.Pow(2, float64(i)/2) * r.loadPerOwnRequest()
-			if m.value > limitSlowdown*least {
+			if step.value > limitSlowdown*lowLoadLatency {
 				target = min(target, load)
 				break
 			}
